--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -7,18 +7,21 @@
 
 #include <string.h>
 
-/* Bytes of the number of a segment as text, with the final 0. */
+/* Bytes of a segment number as text, including the terminating NUL. */
 #define SEGMENT_NUMBER_SIZE 16
 
 /* --- machines that join --- */
 
+/* Returns whether a joining machine needs no write: a partition names the machine already, or the
+ * machine was returned to the cloud. */
 static bool is_resolved(const mv_membership *membership, const mv_partition_member *member)
 {
     const mv_machine *machine = mv_agents_find(membership->agents, member->id);
     return (machine && machine->shard) || mv_membership_was_released(membership, member->id);
 }
 
-/* Takes as many joining machines into the members as fit a segment; whether any. */
+/* Moves joining machines to `members` until the segment is full, and drops resolved machines from
+ * the `joining` list. Returns whether any machine was added. */
 static bool take_joining(const mv_membership *membership, mv_shard *shard, GArray *members)
 {
     GArray *joining = shard->joining;
@@ -43,7 +46,9 @@
 
 /* --- splitting --- */
 
-/* A run of members; `term` 0: each keeps its own. Owned by the caller. */
+/* Returns a copy of the members from index `from` up to, but not including, `to`; owned by the
+ * caller. Sets the term of each copied member to `term`; with `term` 0 each member keeps its term.
+ */
 static GArray *slice(const GArray *members, guint from, guint to, uint64_t term)
 {
     GArray *run = g_array_new(FALSE, TRUE, sizeof(mv_partition_member));
@@ -61,15 +66,17 @@
     mv_partition_update_put_segment(update, membership->context, shard, segment_index, members);
 }
 
-/* One slice goes to a new segment, which counts as the newer record that names its machines; the
- * old segment follows slice by slice, until what is left of it can be written. For readers of this
- * version only: older ones take the segment that they read last. */
+/* Copies one slice of an oversized segment to a new segment. The old segment's record stays as it
+ * is, so both records name the machines of the slice, and readers use the newer record. Each call
+ * moves one slice, until the members that remain fit the old segment's record. Only readers of this
+ * version resolve the conflict by revision; older versions use the segment that they read last. */
 static void split_off_slice(mv_membership *membership, mv_partition_update *update,
                             const mv_shard *shard, guint segment_index, const GArray *members)
 {
     guint from = mv_partition_slice_end(membership->context, members, 0);
     guint to = mv_partition_slice_end(membership->context, members, from);
-    /* Another segment may need a new term in the same transaction. */
+    /* The slice takes two writes, its segment and its occupancy. `max_writes` leaves out one write
+     * for the term, because another segment may need a new term in the same transaction. */
     if (update->write_count + 2 > update->max_writes)
         return;
     g_autoptr(GArray) moved = slice(members, from, to, 0);
@@ -81,10 +88,12 @@
     mv_partition_update_require_occupancy(update, shard, segment);
 }
 
-/* The first free segment whose key comes after that of another. Readers that list all records anew
- * may see the segment that is split as it is now, in a later page, but new segments as they were,
- * in an earlier one: with no machine in them. Controllers of format 1 take such machines for
- * gone. */
+/* Returns the first free segment, from `first_free` on, whose key sorts after the key of segment
+ * `other`. A controller that lists all records reads them in pages of different times, sorted by
+ * key. If a new segment's key sorted before the key of the segment that is split, the controller
+ * could read the new segment in an early page, before the split, and the split segment in a later
+ * page, after the split. The moved machines would then be in no segment, and controllers of format
+ * 1 take such machines for gone. */
 static guint free_segment_after(guint first_free, guint other)
 {
     char number[SEGMENT_NUMBER_SIZE], after[SEGMENT_NUMBER_SIZE];
@@ -97,6 +106,7 @@
     return first_free;
 }
 
+/* Returns the number of segments that the members from index `from` on fill. */
 static guint count_slices(const mv_context *context, const GArray *members, guint from)
 {
     guint count = 0;
@@ -105,7 +115,9 @@
     return count;
 }
 
-/* Each slice takes a segment and its occupancy, and the old segment is written too. */
+/* Returns whether the transaction has room to split a segment: two writes for each slice (a segment
+ * and its occupancy record) and one for the old segment. If even an empty transaction has too
+ * little room, the limit is logged as too small. */
 static bool has_writes_to_split(const mv_context *context, const mv_partition_update *update,
                                 const mv_shard *shard, guint segment_index, guint slices)
 {
@@ -118,11 +130,14 @@
     return false;
 }
 
-/* What does not fit goes to new segments: what may hold tasks is named first, then the new segment,
- * then the old one without them, so that no reader, in this order or at any moment, finds a machine
- * in no segment or one that may hold tasks unnamed. Under a new term, for an owner of any version
- * takes a machine that changes its segment for one that still has to show its token. The owner may
- * record more occupied machines meanwhile: then the revision of its record is another. */
+/* Moves all members that do not fit an oversized segment to new segments, in one transaction, and
+ * returns whether the transaction had room. The order of the writes is: the occupancy record of a
+ * new segment, the new segment, and last the old segment without the moved machines. A reader that
+ * applies the writes in this order therefore finds, at each moment, every machine in a segment and
+ * every machine that may hold tasks in an occupancy record. The moved machines get a new term,
+ * because an owner of any version expects a machine that changes its segment to report under a new
+ * fencing token first. The transaction requires the revision of the old segment's occupancy record,
+ * because the owner may record more occupied machines in the meantime. */
 static bool split_segment(mv_membership *membership, mv_partition_update *update,
                           const mv_shard *shard, guint segment_index, const GArray *members)
 {
@@ -148,7 +163,9 @@
     return true;
 }
 
-/* A segment that is split off slice by slice still needs its write. */
+/* Splits a segment whose members do not fit one record. If every controller reads the current
+ * format, the leader moves one slice per transaction, and the segment stays marked for a write
+ * until the rest fits. Otherwise the leader moves all slices in one transaction. */
 static void write_oversized_segment(mv_membership *membership, mv_partition_update *update,
                                     mv_shard *shard, mv_partition_segment *segment,
                                     const GArray *members)
@@ -172,7 +189,7 @@
     uint64_t term = update->term;
     g_autoptr(GArray) members = mv_segment_members(membership, segment, &term);
     if (term != update->term && !update->term_free)
-        return; /* it still needs its write */
+        return; /* the segment stays marked: a new term has to wait for the one in flight */
     size_t bytes = mv_partition_members_bytes(members);
     if (!mv_segment_fits(membership->context, bytes, members->len)) {
         write_oversized_segment(membership, update, shard, segment, members);
@@ -198,6 +215,9 @@
     }
 }
 
+/* Adds the writes of one tick to the transaction: stale segments alone if there are any, otherwise
+ * all segments that have to be written. Restores the `joining` list afterwards, because the
+ * transaction may be lost. */
 static void write_segments(mv_membership *membership, mv_partition_update *update, mv_shard *shard)
 {
     const bool any_stale = mv_shard_has_stale_segment(shard);
@@ -250,7 +270,8 @@
 
 static bool segment_needs_write(const mv_context *context, const mv_partition_segment *segment)
 {
-    /* Its owner could not record the occupancy of its machines any more. */
+    /* If the occupancy record exceeds a value, the owner cannot write it; the leader has to split
+     * the segment. */
     bool too_large = mv_segment_occupancy_bytes(segment) > mv_partition_value_capacity(context);
     return segment->needs_write || mv_segment_is_stale(segment) || too_large ||
            any_member_needs_write(context, segment);
--- a/src/coordination/membership/partition_writer.h
+++ b/src/coordination/membership/partition_writer.h
@@ -1,19 +1,23 @@
 /**
- * The leader's writes of partitions: which machines each segment names. What an older version wrote
- * larger than a value may be is split before it is written again.
+ * The leader's writes of partition records, which name the machines of each segment. If a record
+ * that an older version wrote exceeds the size limit of a value, the leader splits the segment
+ * before writing the record again.
  */
 #ifndef MV_PARTITION_WRITER_H
 #define MV_PARTITION_WRITER_H
 #include "coordination/membership/membership.h"
 
 /**
- * Writes segments of a partition anew when machines came, went or need a higher term. Machines that
- * were adopted stay in `joining` until the record is here, so that a lost transaction loses none.
- * Returns whether there was something to write, and no such write was under way.
+ * Writes the segments of the shard's partition in which machines join, leave or need a higher term.
+ * Machines that join stay in the shard's `joining` list until the state cache shows the record that
+ * names them, so that a lost transaction loses no machine. Returns whether a transaction was
+ * queued; none is queued if no segment has changed or an earlier write is still in flight.
  */
 bool mv_partition_write(mv_membership *membership, mv_shard *shard);
 /**
- * What is recorded need not join any more; what a write that failed left out is tried again.
+ * Compares the shard's partition records with the state that the leader wants: removes recorded and
+ * released machines from the `joining` list, and marks each segment that has to be written,
+ * including segments whose last write failed.
  */
 void mv_partition_reconcile(mv_membership *membership, mv_shard *shard);
 #endif
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* Bytes that the name of a team takes in a record besides its letters. */
+/* Bytes that a team's name adds to a shard record besides its letters. */
 #define TEAM_NAME_FRAME 3
 
 /* --- load --- */
@@ -23,8 +23,9 @@
     return count;
 }
 
-/* A controller that just resigned a shard would, with no shard left, have been the first to get
- * another, and kept its machines from everybody for as long again. */
+/* Gives a controller that just resigned a shard a lower priority for MV_RESIGNED_BACKOFF_S. Without
+ * this back-off the controller, having the fewest shards, would be granted the next shard first,
+ * and no controller could use the machines of that shard until it was resigned in turn. */
 static void mark_resigned(mv_membership *membership, const char *node)
 {
     double *until = g_new(double, 1);
@@ -38,15 +39,17 @@
     return until && membership->context->clock.now < *until;
 }
 
-/* A controller as a candidate for a shard. */
+/* A live controller that may be granted a shard, with what decides between candidates. */
 typedef struct {
-    const mv_node_entry *entry; /* NULL: none yet */
-    unsigned load;
+    const mv_node_entry *entry; /* NULL: there is no candidate yet */
+    unsigned load; /* shards that the controller owns or gets in the same transaction */
     bool resigned, is_self;
 } grant_candidate;
 
-/* One that has not resigned lately first, then the fewest shards; the leader itself on a tie, for
- * then the fleet and the placement need no messages. */
+/* Returns whether the leader prefers `candidate` to `best`. A controller that has not resigned a
+ * shard lately comes first, then the controller with the fewest shards. On a tie the leader takes
+ * itself: if the leader of the fleet also places the shard's tasks, no messages between controllers
+ * are needed. */
 static bool is_better_candidate(const grant_candidate *candidate, const grant_candidate *best)
 {
     if (!best->entry)
@@ -56,8 +59,9 @@
     return candidate->load < best->load || (candidate->load == best->load && candidate->is_self);
 }
 
-/* The live controller that should get a shard; `extra` counts shards given in the same
- * transaction. */
+/* Returns the live controller that should get a shard, or NULL if there is none. `extra` maps
+ * controllers to the shards they get in the same transaction, which count as load; the controller
+ * named `excluded` is passed over (NULL: no controller is excluded). */
 static const mv_node_entry *lowest_loaded(const mv_membership *membership, GHashTable *extra,
                                           const char *excluded)
 {
@@ -85,7 +89,8 @@
 
 /* --- how many shards --- */
 
-/* Machines that the teams' guarantees alone would fill, or that are there already. */
+/* Returns the expected number of machines in the fleet: the machines that are present, or, if that
+ * is more, the machines of the largest type that the cores guaranteed to the teams would fill. */
 static double fleet_size(const mv_membership *membership, const mv_fleet_listing *listing)
 {
     const mv_context *context = membership->context;
@@ -99,10 +104,12 @@
     return MAX(guaranteed_machines, (double)present);
 }
 
-/* Whether enough is known to say how large the fleet will be: the types, and the machines there
- * are. With one shard until 399 machines were recorded, 12 s after the start, one controller got
- * all the jobs of that time; the machines followed them, and it broke down under two thirds of a
- * fleet of 4,000. A cloud that does not answer holds nothing up for long. */
+/* Returns whether the leader can estimate the fleet's size: the machine types are known, and the
+ * cloud's machine list has been read to its end. Before the leader waited for the list, a fleet of
+ * 4,000 machines began with one shard, and got more only when 399 machines were recorded, 12 s
+ * after the start. One controller had received all jobs by then, the machines followed the jobs to
+ * its shard, and the controller broke down under two thirds of the fleet. If the cloud does not
+ * answer, the leader stops waiting after MV_FIRST_LIST_TIMEOUT_S. */
 static bool fleet_size_is_known(const mv_membership *membership, const mv_fleet_listing *listing)
 {
     const mv_context *context = membership->context;
@@ -111,8 +118,10 @@
     return context->catalog.types && SAFETY_CHECK(FIRST_LIST, listing->complete || waited);
 }
 
-/* One shard keeps the capacity of a small fleet together; a large one is more than one controller's
- * processor can serve. Shards are only ever added, so that noise moves nothing. */
+/* Returns how many shards the fleet should have, unless the operator set the number. A small fleet
+ * gets one shard, which keeps its capacity together. A large fleet gets one shard per controller,
+ * because one controller's processor cannot serve all machines. The caller adds shards but never
+ * removes any, so that a fluctuating fleet size does not move machines and jobs. */
 static unsigned target_shard_count(const mv_membership *membership, const mv_fleet_listing *listing)
 {
     const mv_settings *settings = membership->context->settings;
@@ -132,7 +141,8 @@
     return false;
 }
 
-/* The sum of what is guaranteed to a shard's teams, and one for each team. */
+/* Returns the number of cores guaranteed to the shard's teams, plus one for each team, so that
+ * teams without guaranteed cores count too. */
 static double guaranteed_sum(const mv_settings *settings, const mv_lease_holder *holder)
 {
     double sum = 0;
@@ -152,8 +162,8 @@
     return bytes;
 }
 
-/* The shard with the lowest guaranteed to its teams whose record has room for another; NULL: none.
- */
+/* Returns the shard with the lowest guaranteed sum among the shards whose record has room for the
+ * team's name, or NULL if no record has room. */
 static mv_lease_holder *choose_shard_for_team(const mv_context *context, mv_lease_holder *holders,
                                               unsigned count, const char *team)
 {
@@ -178,7 +188,8 @@
     return false;
 }
 
-/* A team that no shard names goes to a shard. */
+/* Assigns each team that no shard names to a shard, and returns whether any team was assigned. If
+ * no shard's record has room for a team, the team stays unassigned and the fault is logged. */
 static bool add_missing_teams(const mv_context *context, mv_lease_holder *holders, unsigned count)
 {
     bool added = false;
@@ -207,7 +218,9 @@
 
 /* --- choosing owners --- */
 
-/* Moves one shard when a controller came back and another owns two more than it. */
+/* Chooses a shard to move to the least loaded controller, for example to a controller that came
+ * back, if the shard's owner has at least two shards more. Returns the shard's index and sets `to`,
+ * or returns -1 if no shard is to be moved. Moves are MV_REBALANCE_INTERVAL_S apart. */
 static int rebalance(mv_membership *membership, const mv_node_entry **to)
 {
     const mv_context *context = membership->context;
@@ -230,8 +243,10 @@
     return -1;
 }
 
-/* Its owner reaches the state store but no machine: another controller may. Once all have tried, it
- * is the machines that have failed, and further grants would only delay that verdict. */
+/* Returns whether the shard's owner resigns the shard: the owner reaches the state service but none
+ * of the shard's machines, and another controller may reach them. If every controller has tried in
+ * turn, the machines have failed rather than the links. The last owner then keeps the shard, since
+ * further grants would only delay the moment at which the machines are declared failed. */
 static bool owner_resigns(const mv_membership *membership, const mv_shard *shard)
 {
     bool peers_remain = shard->resignations + 1 < g_hash_table_size(membership->nodes);
@@ -242,7 +257,8 @@
     return peers_remain && resigning && had_time && recent;
 }
 
-/* The owner of a shard says that it alone is cut off from the state store. */
+/* Returns whether the shard's owner reported lately that, alone among the controllers, it is cut
+ * off from the state service, and has been for long enough to lose its shards. */
 static bool owner_stepped_aside(const mv_membership *membership, const mv_shard *shard)
 {
     const mv_connectivity *connectivity = membership->launch_control->connectivity;
@@ -251,18 +267,19 @@
                                               shard->holder.node, shard->holder.incarnation);
 }
 
-/* Grants of one transaction. */
+/* The grants that the leader writes in one transaction. */
 typedef struct {
-    unsigned count;           /* of shards */
-    mv_lease_holder *holders; /* as they should be */
-    bool *changed;
-    GHashTable *given; /* controllers -> shards given to them here */
-    uint64_t term;     /* the highest so far */
-    int moved_index;   /* shard moved for balance; -1: none */
-    const mv_node_entry *moved_to;
+    unsigned count;                /* number of shards */
+    mv_lease_holder *holders;      /* per shard: the lease after this transaction */
+    bool *changed;                 /* per shard: the lease has to be written */
+    GHashTable *given;             /* controller name -> number of shards granted to it here */
+    uint64_t term;                 /* the highest term granted so far */
+    int moved_index;               /* index of the shard moved for balance; -1: none */
+    const mv_node_entry *moved_to; /* the controller that gets the moved shard */
 } grant_round;
 
-/* Who should get a shard; NULL: it stays where it is. */
+/* Returns the controller that should be granted the shard, or NULL if the shard's owner keeps it.
+ * Counts a resignation of the owner and starts the owner's back-off. */
 static const mv_node_entry *choose_owner(mv_membership *membership, grant_round *round,
                                          mv_shard *shard)
 {
@@ -328,7 +345,6 @@
     return MIN(MIN(target, context->limits.writes - 1), MV_SHARDS_MAX);
 }
 
-/* One transaction grants every shard that has no live owner, each under a new term. */
 void mv_shard_grants_tick(mv_membership *membership, const mv_fleet_listing *listing)
 {
     const mv_context *context = membership->context;
