--- a/src/coordination/membership/partition_cache.c
+++ b/src/coordination/membership/partition_cache.c
@@ -5,7 +5,7 @@
 
 /* --- members --- */
 
-/* Out of whichever segment names it. */
+/* Takes the machine out of the segment that names it, if any, and updates the counts. */
 static void leave_segment(mv_machine *machine)
 {
     if (!machine->shard)
@@ -24,7 +24,8 @@
     mv_machine_departed(membership->agents, machine);
 }
 
-/* It comes from another shard, or is new. */
+/* Prepares a machine, new or from another shard, for the shard whose partition names it now. What
+ * was known of the machine's tasks under the old shard is forgotten. */
 static void join_shard(mv_membership *membership, const mv_shard *shard, mv_machine *machine,
                        const mv_partition_member *member, uint64_t revision)
 {
@@ -32,18 +33,24 @@
     mv_machine_reset(membership->agents, machine);
     leave_segment(machine);
     machine->rented_at = mv_clock_steady_from_wall(clock, member->rented_at_wall);
-    /* The heartbeat timeout counts from here: transferred machines were released at once as never
-     * booted, for their new owner had received no heartbeat of them since its own grant. */
+    /* The heartbeat timeout counts from this moment. When it counted from the grant of the shard,
+     * transferred machines were released at once as never booted, because the new owner had
+     * received no heartbeat from these machines since its grant. */
     machine->joined_partition_at = clock->now;
-    /* It joined under our grant: nothing of this partition can be on it. */
+    /* If the machine joined after the present owner was granted the shard, no earlier owner of the
+     * shard can have launched tasks on it, so nothing of this partition is on the machine. */
     bool after_grant = shard->revision != 0 && revision > shard->grant_revision;
     machine->known_empty = after_grant && membership->cache.loaded;
     bool is_up = machine->last_heartbeat_at > 0 || machine->occupied;
-    if (is_up) /* probed at once, it need not find us first */
+    /* A sign of life makes the new owner probe the machine at once; otherwise the owner would wait
+     * until the machine's agent finds the owner. */
+    if (is_up)
         machine->last_sign_at = clock->now;
 }
 
-/* A segment of the shard names a machine that was not there, or under another term. */
+/* Records that a segment of the shard names a machine, either newly or under another term. A
+ * machine that comes from another shard or gets another term counts as unconfirmed until its agent
+ * reports under the new fencing token. */
 static void enter_segment(mv_membership *membership, mv_shard *shard, mv_partition_segment *segment,
                           mv_machine *machine, const mv_partition_member *member, uint64_t revision)
 {
@@ -63,19 +70,22 @@
     machine->shard = shard;
     machine->segment = segment->index;
     machine->departing = false;
-    /* Segment to segment of one partition it stays what it was, whichever record comes first. */
+    /* A machine that moves between segments of one partition stays occupied, whether the new
+     * segment's partition record or its occupancy record is read first. */
     bool is_recorded = g_hash_table_contains(segment->occupied_names, machine->id);
     machine->occupied = is_recorded || (machine->occupied && !shard_changes);
     machine->member_term = member->term;
-    if (same_term) { /* only in another segment now */
+    if (same_term) { /* only the segment changes; the machine stays confirmed */
         segment->unrecorded_count += machine->confirmed && !machine->occupied;
         return;
     }
-    machine->confirmed = false; /* a higher token has to be seen by the worker first */
+    machine->confirmed = false; /* until the agent reports under the new fencing token */
     machine->release_pending = machine->summary.needs_fencing = false;
 }
 
-/* The machine that a record names; one that was moved here from another shard begins anew. */
+/* Returns the machine that a record names, and adds it if it is not known. A machine that is
+ * leaving another shard is first removed, which requeues its tasks, and then added as a new
+ * machine. */
 static mv_machine *find_or_add(mv_membership *membership, const mv_shard *shard,
                                const mv_partition_member *member)
 {
@@ -98,8 +108,8 @@
     machine->spot = member->spot;
 }
 
-/* Whether the machine has to enter the segment. Named by two segments while a large one is split,
- * the newer record counts. */
+/* Returns whether a machine that the segment's record names has to enter the segment. While a large
+ * segment is split, two segments name the machine; then the newer record counts. */
 static bool should_enter(mv_shard *shard, const mv_partition_segment *segment,
                          const mv_machine *machine, const mv_partition_member *member,
                          uint64_t revision)
@@ -111,6 +121,8 @@
     return mv_shard_segment(shard, machine->segment)->partition_revision <= revision;
 }
 
+/* Marks each machine of the segment that its record does not name any more (is not in `present`).
+ */
 static void mark_departing(mv_membership *membership, const mv_partition_segment *segment,
                            GHashTable *present)
 {
@@ -161,7 +173,8 @@
 
 /* --- occupancy --- */
 
-/* The record lists names and addresses by turns. */
+/* Reads which machines may hold tasks, and sets addresses that are not known yet. The record is one
+ * list in which names and addresses alternate. */
 static void read_occupancy(const mv_membership *membership, mv_partition_segment *segment,
                            const msgpack_object *object)
 {
@@ -193,7 +206,8 @@
     segment->withdraws_transfer = false;
     for (guint i = 0; i < segment->members->len; i++) {
         mv_machine *machine = g_ptr_array_index(segment->members, i);
-        /* A move on the strength of an earlier revision fails from now on. */
+        /* A transfer requires the revision of the occupancy record under which the owner declared
+         * the machine transferable. This record is newer, so that transfer would fail. */
         machine->transferable_revision = 0;
         machine->occupied = g_hash_table_contains(segment->occupied_names, machine->id);
         segment->unrecorded_count += machine->confirmed && !machine->occupied;
--- a/src/coordination/membership/partition_cache.h
+++ b/src/coordination/membership/partition_cache.h
@@ -1,23 +1,25 @@
 /**
- * Records of partitions as they are read: which machines each segment names, and which of them may
- * hold tasks.
+ * Partition and occupancy records in the state cache: which machines each segment names, and which
+ * of these machines may hold tasks.
  */
 #ifndef MV_PARTITION_CACHE_H
 #define MV_PARTITION_CACHE_H
 #include "coordination/membership/membership.h"
 
-/** A partition record came, changed or went (`object` NULL). */
+/** Applies a partition record that was created, changed or removed (`object` NULL). */
 void mv_partition_cache_members(mv_membership *membership, unsigned shard, unsigned segment,
                                 const msgpack_object *object, uint64_t revision);
-/** An occupancy record came, changed or went (`object` NULL). */
+/** Applies an occupancy record that was created, changed or removed (`object` NULL). */
 void mv_partition_cache_occupancy(mv_membership *membership, unsigned shard, unsigned segment,
                                   const msgpack_object *object, uint64_t revision);
 /**
- * Removes machines that are in no segment. One that a segment does not name any more may be in
- * another of the same revision: a partition that was split must not look, between two of its
- * records, as if machines had gone. Nor must one that is split between two pages of a list, of
- * which the first came before and the second after: its machines were in no segment, and their
- * tasks were placed elsewhere while they ran.
+ * Removes machines that no segment names any more, and requeues their tasks. The caller waits until
+ * all records of one revision are applied: if a partition is split, a machine can leave one segment
+ * and enter another at the same revision, and between these two records no segment names it. While
+ * a list of all records is being read, and until a watch sent after its last page is answered,
+ * nothing is removed: if a partition is split between the reads of two pages, the moved machines
+ * can be missing from both. When such machines were removed, their tasks were placed elsewhere
+ * while the tasks still ran.
  */
 void mv_partition_cache_remove_departed(mv_membership *membership);
 #endif
--- a/src/coordination/membership/partition_update.c
+++ b/src/coordination/membership/partition_update.c
@@ -36,7 +36,7 @@
             continue;
         mv_partition_member member = mv_partition_member_of(context, machine, machine->member_term);
         if (mv_machine_needs_fencing(context, machine)) {
-            *term = membership->term + 1; /* one new term fences off many */
+            *term = membership->term + 1; /* one new term serves all machines to be fenced */
             member.term = *term;
         }
         g_array_append_val(members, member);
