--- a/src/coordination/membership/election.c
+++ b/src/coordination/membership/election.c
@@ -17,7 +17,8 @@
 
 /* --- announcement --- */
 
-/* An entry of our own predecessor is overwritten: we are its only heir. */
+/* Writes this process's entry. An entry of an earlier process of the same node is overwritten,
+ * because only this process succeeds that one. */
 static void put_own_entry(const mv_membership *membership, mv_action *transaction)
 {
     const mv_context *context = membership->context;
@@ -31,6 +32,7 @@
     mv_transaction_put(transaction, key, mv_lease_holder_pack(&holder), true);
 }
 
+/* Records that this node uses the current format, unless that is recorded already. */
 static void put_own_format(const mv_membership *membership, mv_action *transaction)
 {
     const mv_context *context = membership->context;
@@ -57,6 +59,8 @@
 
 /* --- leader --- */
 
+/* Writes this process into the leader's record, under a new term, if there is no leader or the
+ * leader is an earlier process of the same node. */
 static void stand_for_leader(mv_membership *membership)
 {
     mv_context *context = membership->context;
--- a/src/coordination/membership/election.h
+++ b/src/coordination/membership/election.h
@@ -1,16 +1,17 @@
-/** A controller announces itself and stands for leader. */
+/** Election: a controller writes an entry of its own and tries to become leader. */
 #ifndef MV_ELECTION_H
 #define MV_ELECTION_H
 #include "coordination/membership/membership.h"
 
 /**
- * Announces this process, and stands for leader where there is none. Returns whether it is
- * announced.
+ * Writes this process's entry in the state service if it is missing, and tries to become leader if
+ * there is none. Returns whether the state cache shows the entry.
  */
 bool mv_election_tick(mv_membership *membership);
 /**
- * For the leader: a controller that was put back to an earlier version is of the current format no
- * more, also while it is away.
+ * Called by the leader. If a live controller was rolled back to a version of an older format,
+ * deletes the record that says the controller uses the current format. Without the record the
+ * controller counts as old even while it is down. Deletes at most one record at a time.
  */
 void mv_election_correct_formats(mv_membership *membership);
 #endif
--- a/src/coordination/membership/shard_owner.c
+++ b/src/coordination/membership/shard_owner.c
@@ -20,6 +20,8 @@
 
 /* --- occupancy --- */
 
+/* Adds a write of the segment's occupancy record: the members that may hold tasks by an earlier
+ * record, and the confirmed members, which may get tasks. */
 static void put_occupancy(const mv_shard *shard, const mv_partition_segment *segment,
                           mv_action *transaction)
 {
@@ -44,7 +46,8 @@
     return false;
 }
 
-/* The segment with the most machines to record that is not among those taken; NULL: none. */
+/* Returns the segment with the most unrecorded machines that is not in `taken`, or NULL if no other
+ * segment has to be recorded. */
 static mv_partition_segment *max_unrecorded_segment(const mv_shard *shard,
                                                     const mv_partition_segment *const *taken,
                                                     unsigned count)
@@ -61,8 +64,10 @@
     return best;
 }
 
-/* While a large fleet boots, each segment would be written again for every machine: a pause lets
- * several share a write. */
+/* Returns whether the owner may write occupancy records now. While a large fleet boots, machines
+ * are confirmed one by one, and without a pause the owner would write a segment again for each
+ * machine. In a shard of more than MV_OCCUPANCY_BATCH segments, the pause of
+ * MV_OCCUPANCY_INTERVAL_S lets several machines share one write. */
 static bool may_record_occupancy(const mv_context *context, mv_shard *shard)
 {
     double interval_s = shard->segments->len > MV_OCCUPANCY_BATCH ? MV_OCCUPANCY_INTERVAL_S : 0;
@@ -109,6 +114,7 @@
     return false;
 }
 
+/* Marks the shard as rebuilt if no machine is left that may hold tasks and has not reported. */
 static void check_rebuilt(mv_membership *membership, mv_shard *shard)
 {
     mv_context *context = membership->context;
@@ -120,8 +126,10 @@
             shard->holder.term, context->clock.now - shard->acquired_at);
 }
 
-/* Without a valid lease session heartbeats are rejected, so after an outage of the state store no
- * machine has a recent one. Without this, working machines were failed, all at once, for that. */
+/* Restarts the heartbeat timeouts of a shard's machines when this controller owns the shard again.
+ * While its lease session is not valid, the controller rejects heartbeats, so after an outage of
+ * the state service no machine has a recent heartbeat. Without the restart, the controller declared
+ * all working machines failed at once. */
 static void update_listening(const mv_context *context, mv_shard *shard)
 {
     bool is_owned = mv_shard_is_owned(context, shard);
--- a/src/coordination/membership/state_cache.c
+++ b/src/coordination/membership/state_cache.c
@@ -8,8 +8,10 @@
 
 /* --- what records have in common --- */
 
-/* A list of many records comes in pages, each newer than the one before, and changes are watched
- * from the first page on: what a later page showed already must not go back to what it was. */
+/* A list of many records is read in pages, each newer than the page before, while changes are
+ * watched from the revision of the first page on. A watch can therefore deliver a change that is
+ * older than the record in a later page. Such a change is stale and must not overwrite the newer
+ * record. */
 bool mv_state_cache_accept(mv_membership *membership, const char *key, bool removed,
                            uint64_t revision)
 {
@@ -19,8 +21,10 @@
         mv_context_count_stale(membership->context, "record", key);
         return false;
     }
-    /* The same once more, as lists bring it: what was decided on it since stays. Read as news, the
-     * occupancy record took transfers back that the leader could still act upon. */
+    /* A list repeats records that the cache already has. A record with a known revision is ignored,
+     * so that decisions based on that revision stay valid. When a repeated occupancy record was
+     * applied as new, the owner forgot that machines were declared transferable while the leader
+     * could still transfer them. */
     if (known && !SAFETY_CHECK(REPEATED_RECORD, revision != *known))
         return false;
     if (removed)
@@ -117,8 +121,9 @@
     }
 }
 
-/* Everything remembered of a shard is stale once its term changes hands: who owns it now, even we
- * ourselves after a restart, learns from the workers' heartbeats under the new term. */
+/* Forgets the state of a shard's machines and jobs. After a grant under a new term this state is
+ * stale. The new owner, even if it is the same controller as before a restart, learns the state
+ * from the agents' heartbeats under the new term. */
 static void reset_shard(mv_membership *membership, const mv_shard *shard)
 {
     GHashTableIter iter;
--- a/src/coordination/membership/state_cache.h
+++ b/src/coordination/membership/state_cache.h
@@ -1,44 +1,58 @@
 /**
- * The state cache: records of the state store as they are read, first all of them, then every
- * change in order. This part holds what records have in common, and those of controllers, the
- * leader, terms and shards; partitions and jobs have modules of their own.
+ * The state cache: a copy of the records in the state service. The controller first lists all
+ * records and then watches every change in order. This module checks the revision of each record
+ * and applies the records of controllers, the leader, the term counter and shards;
+ * partition_cache.h applies partitions, and the modules of jobs apply jobs and completions.
  */
 #ifndef MV_STATE_CACHE_H
 #define MV_STATE_CACHE_H
 #include "coordination/membership/membership.h"
 
 /**
- * Notes the revision of a record (`removed`: of its removal). Returns false where nothing newer is
- * told by it: an older revision, or the same once more.
+ * Stores the revision of a record that was read, or forgets the record's revision if it was
+ * `removed`. Returns false if the record is not newer than the cache (an older or the same
+ * revision); the caller then ignores the record.
  */
 bool mv_state_cache_accept(mv_membership *membership, const char *key, bool removed,
                            uint64_t revision);
 /**
- * All records are about to be listed anew, in pages of different times. What the pages do not show
- * together holds only once a watch that was sent after the last page has been answered.
+ * Notes that the controller begins to list all records again. The pages of the list are read at
+ * different times, so a record that is missing from all pages may still exist. The absence counts
+ * only after a watch that was sent after the last page has been answered.
  */
 void mv_state_cache_relist_started(mv_membership *membership);
-/** The list is complete. */
+/** Notes that the list of all records has been read to its end. */
 void mv_state_cache_loaded(mv_membership *membership);
-/** A watch that was sent at `sent` was answered: the cache holds every change made before. */
+/**
+ * Notes that the state service answered a watch. The cache holds every change made before `sent`,
+ * the steady time at which the watch was sent.
+ */
 void mv_state_cache_watch_answered(mv_membership *membership, double sent);
 
-/* Records; `object` NULL: the record went, or is none that can be read. */
-/** The leader's record: without it there is no leader. */
+/* The functions below apply one record. `object` is NULL if the record was removed or cannot be
+ * parsed. */
+/** Applies the leader's record. Without this record there is no leader. */
 void mv_state_cache_leader(mv_membership *membership, const msgpack_object *object,
                            uint64_t revision);
-/** The counter of terms; without its record the last one known stays. */
+/** Applies the counter of terms. If the record is missing, the last known term stays. */
 void mv_state_cache_term(mv_membership *membership, const msgpack_object *object,
                          uint64_t revision);
-/** The record of a controller, which is there while its session lives. */
+/**
+ * Applies the entry of the controller called `name`. The entry exists while the controller's lease
+ * session is alive.
+ */
 void mv_state_cache_node(mv_membership *membership, const char *name, const msgpack_object *object,
                          uint64_t revision);
-/** That a controller is of the current format outlives its process: it comes back as it was. */
+/**
+ * Applies the record that the controller called `name` uses the current format. This record
+ * outlives the controller's process, because a restarted controller is expected to run the same
+ * version.
+ */
 void mv_state_cache_format(mv_membership *membership, const char *name,
                            const msgpack_object *object, uint64_t revision);
 /**
- * The lease of a shard. Under a new term all that is known of its machines and jobs is forgotten;
- * heartbeats under that term bring it anew.
+ * Applies the lease of a shard. If the term is new, the cache forgets what it knows of the shard's
+ * machines and jobs; heartbeats under the new term report this state again.
  */
 void mv_state_cache_shard(mv_membership *membership, unsigned index, const msgpack_object *object,
                           uint64_t revision);
