--- a/src/coordination/membership/membership.c
+++ b/src/coordination/membership/membership.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Late lists name a machine for so many times the lag of lists. */
+/* A returned machine is remembered for this many lags of the cloud's machine list, plus
+ * MV_RELEASED_TTL_S, because a delayed list may still name the machine. */
 #define LIST_LAGS_UNTIL_FORGOTTEN 4
 
 void mv_membership_init(mv_membership *membership, mv_context *context, mv_job_table *jobs,
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -1,8 +1,10 @@
 /**
- * Controllers, the leader, the leases of shards, and the state cache they are read from.
+ * Membership: the live controllers, the leader, the leases of shards, and the state cache that
+ * holds their records.
  *
- * The leader is the controller whose record names it; it grants shards, each under a higher term.
- * Terms are one rising counter, and serve as fencing tokens where they are sent to workers.
+ * The leader is the controller that the leader's record names. The leader grants shards, and each
+ * grant gets a new term. All terms come from one counter that only rises. The terms that
+ * controllers send to agents serve as fencing tokens.
  */
 #ifndef MV_MEMBERSHIP_H
 #define MV_MEMBERSHIP_H
@@ -12,72 +14,82 @@
 typedef struct {
     char node[MV_NAME_SIZE];
     uint64_t incarnation, revision;
-    unsigned format; /**< of its records; 0: it does not say */
+    unsigned format; /**< format of the records that the controller writes; 0: not stated */
 } mv_node_entry;
 
-/** How complete our copy of the records is. */
+/** The revisions of the cached records, and how complete the cache is. */
 typedef struct {
-    bool loaded;
-    bool relisting;     /**< a list of all records is read; nothing newer has been watched since */
-    double relisted_at; /**< when the last such list was complete */
+    bool loaded; /**< all records have been listed at least once */
+    /** All records are being listed, or no watch sent after the list has been answered yet. */
+    bool relisting;
+    double relisted_at;    /**< when the last list of all records was complete */
     GHashTable *revisions; /**< key -> revision of its record in the cache */
-    GPtrArray *departed;   /**< char *: machines that the last revision took out of a segment */
-    uint64_t departed_revision; /**< that revision */
+    /** char *: ids of machines that a segment stopped naming and that may have to be removed. */
+    GPtrArray *departed;
+    uint64_t departed_revision; /**< revision of the last partition record that was read */
 } mv_state_cache;
 
-/** The state of this module; times are steady seconds. Leases of shards are kept with shards. */
+/** The state of this module. Times are steady seconds. The lease of a shard is in mv_shard. */
 typedef struct {
     mv_context *context;
     mv_job_table *jobs;
     const mv_launch_control *launch_control;
     mv_agents *agents;
     mv_state_cache cache;
-    GHashTable *nodes;   /**< name -> mv_node_entry, of live controllers */
-    GHashTable *formats; /**< controllers known to be of the current format -> revision of the
-                            record that says so */
+    GHashTable *nodes; /**< name of a live controller -> mv_node_entry */
+    /** Name of a controller known to use the current format -> revision of the record of that. */
+    GHashTable *formats;
     mv_lease_holder leader;
     uint64_t leader_revision; /**< 0: there is no leader */
     uint64_t term, term_revision;
-    bool leading; /**< at the last tick */
-    double leading_since;
+    bool leading;         /**< this controller was the leader at the last tick */
+    double leading_since; /**< when `leading` last changed */
     mv_transaction_slot node_transaction, leader_transaction, grant_transaction, format_transaction;
-    mv_transaction_slot term_transaction; /**< of a partition, with a new term: one at a time, or
-                                             all but one conflict */
-    double rebalanced_at;
-    GHashTable *resigned;       /**< controllers that reached no machine -> until when they get no
-                                   shard */
-    GHashTable *released_names; /**< machines returned to the cloud -> when */
+    /** A write of partitions with a new term. Only one may be in flight: if several were, all but
+     * one would conflict on the counter of terms. */
+    mv_transaction_slot term_transaction;
+    double rebalanced_at; /**< when a shard was last moved for balance */
+    /** Name of a controller that resigned a shard, because it reached no machine or because it
+     * alone is isolated -> when its back-off ends. Until then the leader prefers other controllers.
+     */
+    GHashTable *resigned;
+    GHashTable *released_names; /**< id of a machine returned to the cloud -> when */
 } mv_membership;
 
 /**
- * Initialises it with an empty cache. The other modules are borrowed and must outlive it; call
- * mv_membership_clear at the end.
+ * Initialises `membership` with an empty cache. `membership` borrows the other modules, which must
+ * outlive it. The caller frees the contents with mv_membership_clear.
  */
 void mv_membership_init(mv_membership *membership, mv_context *context, mv_job_table *jobs,
                         const mv_launch_control *launch_control, mv_agents *agents);
-/** Frees the cache and the lists; not `membership` itself. */
+/** Frees the cache and the tables, but not `membership` itself. */
 void mv_membership_clear(mv_membership *membership);
 
-/** Whether this process leads, and its session is certainly alive. */
+/** Whether this process is the leader and its lease session is certainly valid. */
 bool mv_membership_is_leader(const mv_membership *membership);
-/** Notes whether this process leads at this tick; returns whether that changed. */
+/** Updates whether this process is the leader at this tick, and returns whether that changed. */
 bool mv_membership_update_leading(mv_membership *membership);
-/** Whether the process that holds a lease is alive. */
+/** Whether the process that holds the lease is alive: its entry in the state cache has the same
+ * incarnation. */
 bool mv_membership_holder_is_alive(const mv_membership *membership, const mv_lease_holder *holder);
 /**
- * Whether every controller is known to read the current format. What a controller of format 1
- * cannot read is written only once there is none any more. One that lives says what it is; one that
- * is away is taken for old unless it was seen to be new.
+ * Whether every controller is known to read the current format. Records that a controller of format
+ * 1 cannot read are written only while this is true. The entry of a live controller states its
+ * format. A controller that is down counts as old unless a record says that it used the current
+ * format.
  */
 bool mv_membership_formats_are_current(const mv_membership *membership);
 
-/** A machine was returned to the cloud. */
+/** Records that a machine was returned to the cloud just now. */
 void mv_membership_mark_released(mv_membership *membership, const char *machine);
-/** Whether a machine was returned not long ago: late lists may still name it. */
+/** Whether a machine was returned so recently that a delayed machine list may still name it. */
 bool mv_membership_was_released(const mv_membership *membership, const char *machine);
-/** Forgets machines that no late list can name any more. */
+/** Forgets the returned machines that no delayed machine list can name any more. */
 void mv_membership_forget_released(mv_membership *membership);
-/** A transaction was answered; nothing happens unless it is one of this module or its shards. */
+/**
+ * Passes the result of an answered transaction to the slot, of this module or of a shard, that sent
+ * the transaction. Ignores transactions of other modules.
+ */
 void mv_membership_transaction_answered(mv_membership *membership, uint64_t id,
                                         mv_transaction_result result);
 #endif
--- a/src/coordination/membership/partition_sizes.c
+++ b/src/coordination/membership/partition_sizes.c
@@ -2,11 +2,13 @@
 
 #include <string.h>
 
-/* Of a member's record, without its texts: names of the fields, marks, the time. */
+/* Bytes of a member without the machine's texts: the field names, the encoding and the time. */
 #define MEMBER_FRAME 68
+/* Bytes that a member of a spot machine takes in addition. */
 #define MEMBER_SPOT 16
+/* Bytes that a member's own term takes in addition to the digits of the term. */
 #define MEMBER_TERM 8
-/* Of a machine in an occupancy record, without its texts. */
+/* Bytes of a machine in an occupancy record, without the machine's name and address. */
 #define OCCUPANCY_FRAME 6
 
 static size_t count_digits(uint64_t number)
--- a/src/coordination/membership/partition_transfer.c
+++ b/src/coordination/membership/partition_transfer.c
@@ -5,13 +5,13 @@
 #include "protocol/names.h"
 #include "telemetry/log.h"
 
-/* A transfer as it grows. */
+/* A transfer while the leader adds machines. */
 typedef struct {
     mv_membership *membership;
     mv_shard *from, *to;
-    const GPtrArray *machines; /* mv_machine that may go */
-    guint target;              /* segment of `to` that takes them */
-    GArray *arrived;           /* mv_partition_member of that segment, with those that go */
+    const GPtrArray *machines; /* mv_machine that may be moved */
+    guint target;              /* index of the segment of `to` that takes the machines */
+    GArray *arrived;           /* mv_partition_member of the target, with the moved machines */
     mv_partition_update update;
 } transfer;
 
@@ -34,7 +34,8 @@
     return bytes;
 }
 
-/* A segment with room for as many again, or a new one. */
+/* Returns the index of the first segment that is less than half full, both in machines and in
+ * bytes, or the index of a new segment if there is none. */
 static guint choose_target_segment(const mv_context *context, const mv_shard *to)
 {
     size_t half_value = mv_partition_value_capacity(context) / 2;
@@ -49,6 +50,7 @@
 
 /* --- the sources --- */
 
+/* Returns the members that the segment keeps after the transfer; owned by the caller. */
 static GArray *members_staying(transfer *transfer, const mv_partition_segment *segment)
 {
     const mv_membership *membership = transfer->membership;
@@ -62,7 +64,8 @@
     return members;
 }
 
-/* Takes machines of a segment into those that arrive; how many. */
+/* Moves machines of a segment to `arrived`, as long as the target has room. Returns how many
+ * machines were moved. */
 static guint take_machines(transfer *transfer, const mv_partition_segment *segment)
 {
     const mv_membership *membership = transfer->membership;
@@ -83,7 +86,8 @@
     return transfer->arrived->len - before;
 }
 
-/* What stays does not fit a value: the segment has to be split first. */
+/* Undoes take_machines for a segment whose remaining members do not fit a value, and marks the
+ * segment to be written: the leader has to split the segment first. */
 static void give_back_machines(transfer *transfer, mv_partition_segment *segment, guint taken)
 {
     segment->needs_write = true;
@@ -145,7 +149,8 @@
         return;
     transfer transfer = {.membership = membership, .from = from, .to = to, .machines = machines};
     mv_partition_update *update = &transfer.update;
-    /* Of the transfer, and of what is fenced off along with it. */
+    /* The new term is the term of the moved machines, and of machines that are fenced in the same
+     * transaction. */
     update->term = membership->term + 1;
     update->max_writes = MIN(MV_SEGMENTS_BATCH, context->limits.writes - 1) - 1;
     transfer.target = choose_target_segment(context, to);
