--- a/src/coordination/membership/election.c
+++ b/src/coordination/membership/election.c
@@ -17,8 +17,8 @@
 
 /* --- announcement --- */
 
-/* Writes this process's entry. An entry of an earlier process of the same node is overwritten,
- * because only this process succeeds that one. */
+/* Writes this process's entry. An entry that an earlier process of the same node left is
+ * overwritten, because this process is that process's only successor. */
 static void put_own_entry(const mv_membership *membership, mv_action *transaction)
 {
     const mv_context *context = membership->context;
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -37,7 +37,8 @@
     mv_agents *agents;
     mv_state_cache cache;
     GHashTable *nodes; /**< name of a live controller -> mv_node_entry */
-    /** Name of a controller known to use the current format -> revision of the record of that. */
+    /** Name of a controller known to use the current format -> revision of the record that says so.
+     */
     GHashTable *formats;
     mv_lease_holder leader;
     uint64_t leader_revision; /**< 0: there is no leader */
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -93,7 +93,7 @@
  * key. If a new segment's key sorted before the key of the segment that is split, the controller
  * could read the new segment in an early page, before the split, and the split segment in a later
  * page, after the split. The moved machines would then be in no segment, and controllers of format
- * 1 take such machines for gone. */
+ * 1 treat such machines as removed. */
 static guint free_segment_after(guint first_free, guint other)
 {
     char number[SEGMENT_NUMBER_SIZE], after[SEGMENT_NUMBER_SIZE];
@@ -106,7 +106,7 @@
     return first_free;
 }
 
-/* Returns the number of segments that the members from index `from` on fill. */
+/* Returns how many segments the members from index `from` on need. */
 static guint count_slices(const mv_context *context, const GArray *members, guint from)
 {
     guint count = 0;
@@ -133,11 +133,12 @@
 /* Moves all members that do not fit an oversized segment to new segments, in one transaction, and
  * returns whether the transaction had room. The order of the writes is: the occupancy record of a
  * new segment, the new segment, and last the old segment without the moved machines. A reader that
- * applies the writes in this order therefore finds, at each moment, every machine in a segment and
- * every machine that may hold tasks in an occupancy record. The moved machines get a new term,
- * because an owner of any version expects a machine that changes its segment to report under a new
- * fencing token first. The transaction requires the revision of the old segment's occupancy record,
- * because the owner may record more occupied machines in the meantime. */
+ * applies the writes in this order, or lists the records at any moment, therefore finds every
+ * machine in a segment and every machine that may hold tasks in an occupancy record. The moved
+ * machines get a new term, because an owner of any version expects a machine that changes its
+ * segment to report under a new fencing token first. The transaction requires the revision of the
+ * old segment's occupancy record, because the owner may record more occupied machines in the
+ * meantime. */
 static bool split_segment(mv_membership *membership, mv_partition_update *update,
                           const mv_shard *shard, guint segment_index, const GArray *members)
 {
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -47,9 +47,9 @@
 } grant_candidate;
 
 /* Returns whether the leader prefers `candidate` to `best`. A controller that has not resigned a
- * shard lately comes first, then the controller with the fewest shards. On a tie the leader takes
- * itself: if the leader of the fleet also places the shard's tasks, no messages between controllers
- * are needed. */
+ * shard lately comes first, then the controller with the fewest shards. On a tie the leader prefers
+ * itself, because then one process both plans the fleet and places the shard's tasks, and no
+ * messages between controllers are needed. */
 static bool is_better_candidate(const grant_candidate *candidate, const grant_candidate *best)
 {
     if (!best->entry)
@@ -60,8 +60,8 @@
 }
 
 /* Returns the live controller that should get a shard, or NULL if there is none. `extra` maps
- * controllers to the shards they get in the same transaction, which count as load; the controller
- * named `excluded` is passed over (NULL: no controller is excluded). */
+ * the names of controllers to the number of shards that they get in the same transaction, which
+ * counts as load. The controller named `excluded` (may be NULL) gets no shard. */
 static const mv_node_entry *lowest_loaded(const mv_membership *membership, GHashTable *extra,
                                           const char *excluded)
 {
@@ -220,7 +220,8 @@
 
 /* Chooses a shard to move to the least loaded controller, for example to a controller that came
  * back, if the shard's owner has at least two shards more. Returns the shard's index and sets `to`,
- * or returns -1 if no shard is to be moved. Moves are MV_REBALANCE_INTERVAL_S apart. */
+ * or returns -1 if no shard is to be moved. Two moves are at least MV_REBALANCE_INTERVAL_S
+ * apart. */
 static int rebalance(mv_membership *membership, const mv_node_entry **to)
 {
     const mv_context *context = membership->context;
@@ -244,9 +245,9 @@
 }
 
 /* Returns whether the shard's owner resigns the shard: the owner reaches the state service but none
- * of the shard's machines, and another controller may reach them. If every controller has tried in
- * turn, the machines have failed rather than the links. The last owner then keeps the shard, since
- * further grants would only delay the moment at which the machines are declared failed. */
+ * of the shard's machines, and another controller may reach them. After all controllers
+ * have tried in turn, the machines must have failed, so the last owner keeps the shard: further
+ * grants would only delay the moment at which the machines are declared failed. */
 static bool owner_resigns(const mv_membership *membership, const mv_shard *shard)
 {
     bool peers_remain = shard->resignations + 1 < g_hash_table_size(membership->nodes);
@@ -279,7 +280,8 @@
 } grant_round;
 
 /* Returns the controller that should be granted the shard, or NULL if the shard's owner keeps it.
- * Counts a resignation of the owner and starts the owner's back-off. */
+ * If the owner resigned the shard or is isolated, also counts a resignation and starts the owner's
+ * back-off. */
 static const mv_node_entry *choose_owner(mv_membership *membership, grant_round *round,
                                          mv_shard *shard)
 {
--- a/src/coordination/membership/state_cache.c
+++ b/src/coordination/membership/state_cache.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* --- what records have in common --- */
+/* --- revisions and lists --- */
 
 /* A list of many records is read in pages, each newer than the page before, while changes are
  * watched from the revision of the first page on. A watch can therefore deliver a change that is
