--- a/src/coordination/controller/record_dispatch.c
+++ b/src/coordination/controller/record_dispatch.c
@@ -87,21 +87,21 @@
     unsigned shard, segment;
     const char *name;
     if (strcmp(key, KEY_LEADER) == 0)
-        mv_state_cache_leader(membership, object, revision);
+        mv_state_cache_apply_leader(membership, object, revision);
     else if (strcmp(key, KEY_TERM) == 0)
-        mv_state_cache_term(membership, object, revision);
+        mv_state_cache_apply_term(membership, object, revision);
     else if (strcmp(key, KEY_MACHINE_TYPES) == 0)
         apply_machine_types(&controller->context, object, revision);
     else if ((name = after_prefix(key, KEY_FORMAT_PREFIX)))
-        mv_state_cache_format(membership, name, object, revision);
+        mv_state_cache_apply_format(membership, name, object, revision);
     else if ((name = after_prefix(key, KEY_NODE_PREFIX)))
-        mv_state_cache_node(membership, name, object, revision);
+        mv_state_cache_apply_node(membership, name, object, revision);
     else if (parse_shard_key(key, KEY_SHARD_PREFIX, &shard))
-        mv_state_cache_shard(membership, shard, object, revision);
+        mv_state_cache_apply_shard(membership, shard, object, revision);
     else if (parse_segment_key(key, KEY_PARTITION_PREFIX, &shard, &segment))
-        mv_partition_cache_members(membership, shard, segment, object, revision);
+        mv_partition_cache_apply_members(membership, shard, segment, object, revision);
     else if (parse_segment_key(key, KEY_OCCUPANCY_PREFIX, &shard, &segment))
-        mv_partition_cache_occupancy(membership, shard, segment, object, revision);
+        mv_partition_cache_apply_occupancy(membership, shard, segment, object, revision);
     else if ((name = after_prefix(key, KEY_JOB_PREFIX)))
         apply_job(controller, name, object, revision);
     else if ((name = after_prefix(key, KEY_COMPLETION_PREFIX)))
--- a/src/coordination/membership/partition_cache.c
+++ b/src/coordination/membership/partition_cache.c
@@ -134,9 +134,9 @@
     }
 }
 
-void mv_partition_cache_members(mv_membership *membership, unsigned shard_index,
-                                unsigned segment_index, const msgpack_object *object,
-                                uint64_t revision)
+void mv_partition_cache_apply_members(mv_membership *membership, unsigned shard_index,
+                                      unsigned segment_index, const msgpack_object *object,
+                                      uint64_t revision)
 {
     mv_context *context = membership->context;
     mv_shard *shard = mv_context_shard(context, shard_index);
@@ -192,9 +192,9 @@
     }
 }
 
-void mv_partition_cache_occupancy(mv_membership *membership, unsigned shard_index,
-                                  unsigned segment_index, const msgpack_object *object,
-                                  uint64_t revision)
+void mv_partition_cache_apply_occupancy(mv_membership *membership, unsigned shard_index,
+                                        unsigned segment_index, const msgpack_object *object,
+                                        uint64_t revision)
 {
     mv_context *context = membership->context;
     mv_shard *shard = mv_context_shard(context, shard_index);
--- a/src/coordination/membership/partition_cache.h
+++ b/src/coordination/membership/partition_cache.h
@@ -7,11 +7,11 @@
 #include "coordination/membership/membership.h"
 
 /** Applies a partition record that was created, changed or removed (`object` NULL). */
-void mv_partition_cache_members(mv_membership *membership, unsigned shard, unsigned segment,
-                                const msgpack_object *object, uint64_t revision);
+void mv_partition_cache_apply_members(mv_membership *membership, unsigned shard, unsigned segment,
+                                      const msgpack_object *object, uint64_t revision);
 /** Applies an occupancy record that was created, changed or removed (`object` NULL). */
-void mv_partition_cache_occupancy(mv_membership *membership, unsigned shard, unsigned segment,
-                                  const msgpack_object *object, uint64_t revision);
+void mv_partition_cache_apply_occupancy(mv_membership *membership, unsigned shard, unsigned segment,
+                                        const msgpack_object *object, uint64_t revision);
 /**
  * Removes machines that no segment names any more, and requeues their tasks. The caller waits until
  * all records of one revision are applied: if a partition is split, a machine can leave one segment
--- a/src/coordination/membership/state_cache.c
+++ b/src/coordination/membership/state_cache.c
@@ -56,8 +56,8 @@
 
 /* --- leader and term --- */
 
-void mv_state_cache_leader(mv_membership *membership, const msgpack_object *object,
-                           uint64_t revision)
+void mv_state_cache_apply_leader(mv_membership *membership, const msgpack_object *object,
+                                 uint64_t revision)
 {
     mv_lease_holder_clear(&membership->leader);
     membership->leader = (mv_lease_holder){0};
@@ -66,7 +66,8 @@
         membership->leader_revision = revision;
 }
 
-void mv_state_cache_term(mv_membership *membership, const msgpack_object *object, uint64_t revision)
+void mv_state_cache_apply_term(mv_membership *membership, const msgpack_object *object,
+                               uint64_t revision)
 {
     if (object && mv_counter_parse(object, &membership->term))
         membership->term_revision = revision;
@@ -75,8 +76,8 @@
 
 /* --- controllers --- */
 
-void mv_state_cache_node(mv_membership *membership, const char *name, const msgpack_object *object,
-                         uint64_t revision)
+void mv_state_cache_apply_node(mv_membership *membership, const char *name,
+                               const msgpack_object *object, uint64_t revision)
 {
     mv_lease_holder holder;
     if (!object || !mv_lease_holder_parse(object, &holder)) {
@@ -92,8 +93,8 @@
     g_hash_table_replace(membership->nodes, entry->node, entry);
 }
 
-void mv_state_cache_format(mv_membership *membership, const char *name,
-                           const msgpack_object *object, uint64_t revision)
+void mv_state_cache_apply_format(mv_membership *membership, const char *name,
+                                 const msgpack_object *object, uint64_t revision)
 {
     uint64_t format = 0;
     bool is_current = object &&
@@ -156,8 +157,8 @@
             shard->holder.node, shard->holder.term, shard->owned);
 }
 
-void mv_state_cache_shard(mv_membership *membership, unsigned index, const msgpack_object *object,
-                          uint64_t revision)
+void mv_state_cache_apply_shard(mv_membership *membership, unsigned index,
+                                const msgpack_object *object, uint64_t revision)
 {
     mv_context *context = membership->context;
     mv_shard *shard = mv_context_shard(context, index);
--- a/src/coordination/membership/state_cache.h
+++ b/src/coordination/membership/state_cache.h
@@ -32,28 +32,28 @@
 /* The functions below apply one record. `object` is NULL if the record was removed or cannot be
  * parsed. */
 /** Applies the leader's record. Without this record there is no leader. */
-void mv_state_cache_leader(mv_membership *membership, const msgpack_object *object,
-                           uint64_t revision);
+void mv_state_cache_apply_leader(mv_membership *membership, const msgpack_object *object,
+                                 uint64_t revision);
 /** Applies the counter of terms. If the record is missing, the last known term stays. */
-void mv_state_cache_term(mv_membership *membership, const msgpack_object *object,
-                         uint64_t revision);
+void mv_state_cache_apply_term(mv_membership *membership, const msgpack_object *object,
+                               uint64_t revision);
 /**
  * Applies the entry of the controller called `name`. The entry exists while the controller's lease
  * session is alive.
  */
-void mv_state_cache_node(mv_membership *membership, const char *name, const msgpack_object *object,
-                         uint64_t revision);
+void mv_state_cache_apply_node(mv_membership *membership, const char *name,
+                               const msgpack_object *object, uint64_t revision);
 /**
  * Applies the record that the controller called `name` uses the current format. This record
  * outlives the controller's process, because a restarted controller is expected to run the same
  * version.
  */
-void mv_state_cache_format(mv_membership *membership, const char *name,
-                           const msgpack_object *object, uint64_t revision);
+void mv_state_cache_apply_format(mv_membership *membership, const char *name,
+                                 const msgpack_object *object, uint64_t revision);
 /**
  * Applies the lease of a shard. If the term is new, the cache forgets what it knows of the shard's
  * machines and jobs; heartbeats under the new term report this state again.
  */
-void mv_state_cache_shard(mv_membership *membership, unsigned index, const msgpack_object *object,
-                          uint64_t revision);
+void mv_state_cache_apply_shard(mv_membership *membership, unsigned index,
+                                const msgpack_object *object, uint64_t revision);
 #endif
