--- a/src/coordination/membership/election.c
+++ b/src/coordination/membership/election.c
@@ -61,16 +61,16 @@
 
 /* Writes this process into the leader's record, under a new term, if there is no leader or the
  * leader is an earlier process of the same node. */
-static void stand_for_leader(mv_membership *membership)
+static void try_to_become_leader(mv_membership *membership)
 {
     mv_context *context = membership->context;
     const mv_lease_holder *leader = &membership->leader;
     const uint64_t incarnation = context->session.incarnation;
-    bool is_heir = membership->leader_revision &&
-                   strcmp(leader->node, context->settings->node_name) == 0 &&
-                   leader->incarnation != incarnation;
+    bool is_successor = membership->leader_revision &&
+                        strcmp(leader->node, context->settings->node_name) == 0 &&
+                        leader->incarnation != incarnation;
     mv_transaction_slot *slot = &membership->leader_transaction;
-    if ((membership->leader_revision && !is_heir) ||
+    if ((membership->leader_revision && !is_successor) ||
         mv_transaction_slot_busy(slot, &context->clock))
         return;
     mv_lease_holder candidate = {.incarnation = incarnation, .term = membership->term + 1};
@@ -88,7 +88,7 @@
     announce(membership);
     if (!is_announced(membership))
         return false;
-    stand_for_leader(membership);
+    try_to_become_leader(membership);
     return true;
 }
 
--- a/src/coordination/membership/partition_sizes.c
+++ b/src/coordination/membership/partition_sizes.c
@@ -3,13 +3,13 @@
 #include <string.h>
 
 /* Bytes of a member without the machine's texts: the field names, the encoding and the time. */
-#define MEMBER_FRAME 68
+#define MEMBER_OVERHEAD_BYTES 68
 /* Bytes that a member of a spot machine takes in addition. */
-#define MEMBER_SPOT 16
+#define MEMBER_SPOT_BYTES 16
 /* Bytes that a member's own term takes in addition to the digits of the term. */
-#define MEMBER_TERM 8
+#define MEMBER_TERM_BYTES 8
 /* Bytes of a machine in an occupancy record, without the machine's name and address. */
-#define OCCUPANCY_FRAME 6
+#define OCCUPANCY_OVERHEAD_BYTES 6
 
 static size_t count_digits(uint64_t number)
 {
@@ -23,8 +23,8 @@
 {
     size_t texts = strlen(member->id) + strlen(member->address) + strlen(member->type_name) +
                    strlen(member->zone_name);
-    size_t term = member->term ? MEMBER_TERM + count_digits(member->term) : 0;
-    return MEMBER_FRAME + texts + (member->spot ? MEMBER_SPOT : 0) + term;
+    size_t term = member->term ? MEMBER_TERM_BYTES + count_digits(member->term) : 0;
+    return MEMBER_OVERHEAD_BYTES + texts + (member->spot ? MEMBER_SPOT_BYTES : 0) + term;
 }
 
 size_t mv_partition_members_bytes(const GArray *members)
@@ -53,7 +53,7 @@
     for (guint i = 0; i < segment->members->len; i++) {
         const mv_machine *machine = g_ptr_array_index(segment->members, i);
         if (machine->occupied || machine->confirmed)
-            bytes += strlen(machine->id) + strlen(machine->address) + OCCUPANCY_FRAME;
+            bytes += strlen(machine->id) + strlen(machine->address) + OCCUPANCY_OVERHEAD_BYTES;
     }
     return bytes;
 }
--- a/src/coordination/membership/partition_update.h
+++ b/src/coordination/membership/partition_update.h
@@ -14,7 +14,7 @@
     mv_action *transaction; /**< NULL: there is no write yet */
     uint64_t term; /**< term of the written members; a new term if above the membership's */
     unsigned write_count, max_writes; /**< puts and deletes; `max_writes` leaves one for the term */
-    bool term_free;                   /**< no other transaction with a new term is in flight */
+    bool may_raise_term;              /**< no other transaction with a new term is in flight */
     guint segment_count;              /**< segments of the partition, including new ones */
 } mv_partition_update;
 
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -146,7 +146,8 @@
     const mv_partition_segment *segment = g_ptr_array_index(shard->segments, segment_index);
     guint staying = mv_partition_slice_end(context, members, 0);
     guint slices = count_slices(context, members, staying);
-    if (!update->term_free || !has_writes_to_split(context, update, shard, segment_index, slices))
+    if (!update->may_raise_term ||
+        !has_writes_to_split(context, update, shard, segment_index, slices))
         return false;
     update->term = membership->term + 1;
     for (guint from = staying, to; from < members->len; from = to) {
@@ -189,7 +190,7 @@
         return;
     uint64_t term = update->term;
     g_autoptr(GArray) members = mv_segment_members(membership, segment, &term);
-    if (term != update->term && !update->term_free)
+    if (term != update->term && !update->may_raise_term)
         return; /* the segment stays marked: a new term has to wait for the one in flight */
     size_t bytes = mv_partition_members_bytes(members);
     if (!mv_segment_fits(membership->context, bytes, members->len)) {
@@ -245,7 +246,7 @@
         .term = membership->term,
         .max_writes = context->limits.writes - 1,
         .segment_count = shard->segments->len,
-        .term_free = !mv_transaction_slot_busy(&membership->term_transaction, &context->clock),
+        .may_raise_term = !mv_transaction_slot_busy(&membership->term_transaction, &context->clock),
     };
     write_segments(membership, &update, shard);
     if (!update.transaction)
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* Bytes that a team's name adds to a shard record besides its letters. */
-#define TEAM_NAME_FRAME 3
+#define TEAM_NAME_OVERHEAD_BYTES 3
 
 /* --- load --- */
 
@@ -62,8 +62,8 @@
 /* Returns the live controller that should get a shard, or NULL if there is none. `extra` maps
  * the names of controllers to the number of shards that they get in the same transaction, which
  * counts as load. The controller named `excluded` (may be NULL) gets no shard. */
-static const mv_node_entry *lowest_loaded(const mv_membership *membership, GHashTable *extra,
-                                          const char *excluded)
+static const mv_node_entry *find_least_loaded(const mv_membership *membership, GHashTable *extra,
+                                              const char *excluded)
 {
     const char *self = membership->context->settings->node_name;
     grant_candidate best = {0};
@@ -158,7 +158,7 @@
 {
     size_t bytes = MV_SHARD_RECORD_BYTES + strlen(team);
     for (guint i = 0; i < holder->teams->len; i++)
-        bytes += strlen(g_ptr_array_index(holder->teams, i)) + TEAM_NAME_FRAME;
+        bytes += strlen(g_ptr_array_index(holder->teams, i)) + TEAM_NAME_OVERHEAD_BYTES;
     return bytes;
 }
 
@@ -222,13 +222,13 @@
  * back, if the shard's owner has at least two shards more. Returns the shard's index and sets `to`,
  * or returns -1 if no shard is to be moved. Two moves are at least MV_REBALANCE_INTERVAL_S
  * apart. */
-static int rebalance(mv_membership *membership, const mv_node_entry **to)
+static int choose_shard_to_move(mv_membership *membership, const mv_node_entry **to)
 {
     const mv_context *context = membership->context;
     if (context->clock.now < membership->rebalanced_at + MV_REBALANCE_INTERVAL_S)
         return -1;
     g_autoptr(GHashTable) none = g_hash_table_new(g_str_hash, g_str_equal);
-    const mv_node_entry *lowest = lowest_loaded(membership, none, NULL);
+    const mv_node_entry *lowest = find_least_loaded(membership, none, NULL);
     if (!lowest)
         return -1;
     unsigned lowest_load = count_owned_shards(membership, lowest->node);
@@ -289,9 +289,9 @@
     bool is_moved = (int)shard->index == round->moved_index;
     const mv_node_entry *to = NULL;
     if (is_dead)
-        to = lowest_loaded(membership, round->given, NULL);
+        to = find_least_loaded(membership, round->given, NULL);
     else if (owner_resigns(membership, shard) || owner_stepped_aside(membership, shard))
-        to = lowest_loaded(membership, round->given, shard->holder.node);
+        to = find_least_loaded(membership, round->given, shard->holder.node);
     else if (is_moved)
         to = round->moved_to;
     if (to && !is_dead && !is_moved) {
@@ -363,7 +363,7 @@
     round.holders = holders;
     round.changed = changed;
     round.given = given;
-    round.moved_index = rebalance(membership, &round.moved_to);
+    round.moved_index = choose_shard_to_move(membership, &round.moved_to);
     for (unsigned i = 0; i < round.count; i++)
         grant_shard(membership, &round, i);
     if (add_missing_teams(context, holders, round.count))
