--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -62,8 +62,8 @@
 /* Returns the live controller that should get a shard, or NULL if there is none. `extra` maps
  * the names of controllers to the number of shards that they get in the same transaction, which
  * counts as load. The controller named `excluded` (may be NULL) gets no shard. */
-static const mv_node_entry *find_least_loaded(const mv_membership *membership, GHashTable *extra,
-                                              const char *excluded)
+static const mv_node_entry *find_lowest_loaded(const mv_membership *membership, GHashTable *extra,
+                                               const char *excluded)
 {
     const char *self = membership->context->settings->node_name;
     grant_candidate best = {0};
@@ -228,7 +228,7 @@
     if (context->clock.now < membership->rebalanced_at + MV_REBALANCE_INTERVAL_S)
         return -1;
     g_autoptr(GHashTable) none = g_hash_table_new(g_str_hash, g_str_equal);
-    const mv_node_entry *lowest = find_least_loaded(membership, none, NULL);
+    const mv_node_entry *lowest = find_lowest_loaded(membership, none, NULL);
     if (!lowest)
         return -1;
     unsigned lowest_load = count_owned_shards(membership, lowest->node);
@@ -289,9 +289,9 @@
     bool is_moved = (int)shard->index == round->moved_index;
     const mv_node_entry *to = NULL;
     if (is_dead)
-        to = find_least_loaded(membership, round->given, NULL);
+        to = find_lowest_loaded(membership, round->given, NULL);
     else if (owner_resigns(membership, shard) || owner_stepped_aside(membership, shard))
-        to = find_least_loaded(membership, round->given, shard->holder.node);
+        to = find_lowest_loaded(membership, round->given, shard->holder.node);
     else if (is_moved)
         to = round->moved_to;
     if (to && !is_dead && !is_moved) {
