--- a/src/coordination/membership/partition_cache.c
+++ b/src/coordination/membership/partition_cache.c
@@ -42,8 +42,8 @@
     bool after_grant = shard->revision != 0 && revision > shard->grant_revision;
     machine->known_empty = after_grant && membership->cache.loaded;
     bool is_up = machine->last_heartbeat_at > 0 || machine->occupied;
-    /* A sign of life makes the new owner probe the machine at once; otherwise the owner would wait
-     * until the machine's agent finds the owner. */
+    /* A machine that is up gets a sign of life, so that the new owner probes the machine at once.
+     * Otherwise the owner would wait until the machine's agent finds the owner. */
     if (is_up)
         machine->last_sign_at = clock->now;
 }
@@ -121,8 +121,8 @@
     return mv_shard_segment(shard, machine->segment)->partition_revision <= revision;
 }
 
-/* Marks each machine of the segment that its record does not name any more (is not in `present`).
- */
+/* Marks each machine of the segment that the segment's record no longer names. `present` holds the
+ * ids of the machines that the record names. */
 static void mark_departing(mv_membership *membership, const mv_partition_segment *segment,
                            GHashTable *present)
 {
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -272,8 +272,8 @@
 
 static bool segment_needs_write(const mv_context *context, const mv_partition_segment *segment)
 {
-    /* If the occupancy record exceeds a value, the owner cannot write it; the leader has to split
-     * the segment. */
+    /* If the occupancy record exceeds a value, the owner cannot write the record; the leader has to
+     * split the segment. */
     bool too_large = mv_segment_occupancy_bytes(segment) > mv_partition_value_capacity(context);
     return segment->needs_write || mv_segment_is_stale(segment) || too_large ||
            any_member_needs_write(context, segment);
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -23,9 +23,10 @@
     return count;
 }
 
-/* Gives a controller that just resigned a shard a lower priority for MV_RESIGNED_BACKOFF_S. Without
- * this back-off the controller, having the fewest shards, would be granted the next shard first,
- * and no controller could use the machines of that shard until it was resigned in turn. */
+/* Gives a controller that just resigned a shard a lower priority for MV_RESIGNED_BACKOFF_S. A
+ * controller that resigned its last shard has the fewest shards. Without this back-off, the leader
+ * would grant that controller the next shard first, and the next shard's machines would in turn be
+ * out of use until the controller resigned that shard too. */
 static void mark_resigned(mv_membership *membership, const char *node)
 {
     double *until = g_new(double, 1);
@@ -218,10 +219,10 @@
 
 /* --- choosing owners --- */
 
-/* Chooses a shard to move to the least loaded controller, for example to a controller that came
- * back, if the shard's owner has at least two shards more. Returns the shard's index and sets `to`,
- * or returns -1 if no shard is to be moved. Two moves are at least MV_REBALANCE_INTERVAL_S
- * apart. */
+/* Chooses a shard to move for balance: after a controller came back, a shard whose owner has at
+ * least two shards more than the controller with the lowest load moves to the latter. Returns the
+ * shard's index and sets `to`, or returns -1 if no shard is to be moved. Two moves are at least
+ * MV_REBALANCE_INTERVAL_S apart. */
 static int choose_shard_to_move(mv_membership *membership, const mv_node_entry **to)
 {
     const mv_context *context = membership->context;
@@ -245,7 +246,7 @@
 }
 
 /* Returns whether the shard's owner resigns the shard: the owner reaches the state service but none
- * of the shard's machines, and another controller may reach them. After all controllers
+ * of the shard's machines, and another controller may reach the machines. After all controllers
  * have tried in turn, the machines must have failed, so the last owner keeps the shard: further
  * grants would only delay the moment at which the machines are declared failed. */
 static bool owner_resigns(const mv_membership *membership, const mv_shard *shard)
--- a/src/coordination/membership/state_cache.h
+++ b/src/coordination/membership/state_cache.h
@@ -16,16 +16,16 @@
 bool mv_state_cache_accept(mv_membership *membership, const char *key, bool removed,
                            uint64_t revision);
 /**
- * Notes that the controller begins to list all records again. The pages of the list are read at
- * different times, so a record that is missing from all pages may still exist. The absence counts
- * only after a watch that was sent after the last page has been answered.
+ * Marks the cache as incomplete while the controller lists all records again. The pages of the list
+ * are read at different times, so a record that is missing from all pages may still exist. The
+ * absence counts only after a watch that was sent after the last page has been answered.
  */
 void mv_state_cache_relist_started(mv_membership *membership);
-/** Notes that the list of all records has been read to its end. */
+/** Marks the list of all records as complete. */
 void mv_state_cache_loaded(mv_membership *membership);
 /**
- * Notes that the state service answered a watch. The cache holds every change made before `sent`,
- * the steady time at which the watch was sent.
+ * Records that the state service answered a watch that the controller sent at the steady time
+ * `sent`: the cache holds every change made before that time.
  */
 void mv_state_cache_watch_answered(mv_membership *membership, double sent);
 
