--- a/src/coordination/membership/partition_sizes.c
+++ b/src/coordination/membership/partition_sizes.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Bytes of a member without the machine's texts: the field names, the encoding and the time. */
+/* Bytes of a member without the machine's id, address, type and zone: the field names, the encoding
+ * and the time. */
 #define MEMBER_OVERHEAD_BYTES 68
 /* Bytes that a member of a spot machine takes in addition. */
 #define MEMBER_SPOT_BYTES 16
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -20,8 +20,9 @@
     return (machine && machine->shard) || mv_membership_was_released(membership, member->id);
 }
 
-/* Moves joining machines to `members` until the segment is full, and drops resolved machines from
- * the `joining` list. Returns whether any machine was added. */
+/* Moves joining machines from the shard's `joining` list to `members` until the segment is full.
+ * Drops machines that need no write (is_resolved) from the list. Returns whether any machine was
+ * added to `members`. */
 static bool take_joining(const mv_membership *membership, mv_shard *shard, GArray *members)
 {
     GArray *joining = shard->joining;
@@ -67,9 +68,10 @@
 }
 
 /* Copies one slice of an oversized segment to a new segment. The old segment's record stays as it
- * is, so both records name the machines of the slice, and readers use the newer record. Each call
- * moves one slice, until the members that remain fit the old segment's record. Only readers of this
- * version resolve the conflict by revision; older versions use the segment that they read last. */
+ * is, so both records name the machines of the slice, and readers use the newer record. The leader
+ * moves one slice per transaction, until the members that remain fit the old segment's record. Only
+ * readers of this version resolve the conflict by revision; older versions use the segment that
+ * they read last. */
 static void split_off_slice(mv_membership *membership, mv_partition_update *update,
                             const mv_shard *shard, guint segment_index, const GArray *members)
 {
@@ -130,15 +132,15 @@
     return false;
 }
 
-/* Moves all members that do not fit an oversized segment to new segments, in one transaction, and
- * returns whether the transaction had room. The order of the writes is: the occupancy record of a
- * new segment, the new segment, and last the old segment without the moved machines. A reader that
- * applies the writes in this order, or lists the records at any moment, therefore finds every
- * machine in a segment and every machine that may hold tasks in an occupancy record. The moved
- * machines get a new term, because an owner of any version expects a machine that changes its
- * segment to report under a new fencing token first. The transaction requires the revision of the
- * old segment's occupancy record, because the owner may record more occupied machines in the
- * meantime. */
+/* Moves all members that do not fit an oversized segment to new segments, in one transaction.
+ * Returns false, and adds no write, if the transaction has too little room or another new term is
+ * in flight. The order of the writes is: the occupancy record of a new segment, the new segment,
+ * and last the old segment without the moved machines. A reader that applies the writes in this
+ * order, or lists the records at any moment, therefore finds every machine in a segment and every
+ * machine that may hold tasks in an occupancy record. The moved machines get a new term, because an
+ * owner of any version expects a machine that changes its segment to report under a new fencing
+ * token first. The transaction requires the revision of the old segment's occupancy record, because
+ * the owner may record more occupied machines in the meantime. */
 static bool split_segment(mv_membership *membership, mv_partition_update *update,
                           const mv_shard *shard, guint segment_index, const GArray *members)
 {
--- a/src/coordination/membership/partition_writer.h
+++ b/src/coordination/membership/partition_writer.h
@@ -9,9 +9,10 @@
 
 /**
  * Writes the segments of the shard's partition in which machines join, leave or need a higher term.
- * Machines that join stay in the shard's `joining` list until the state cache shows the record that
- * names them, so that a lost transaction loses no machine. Returns whether a transaction was
- * queued; none is queued if no segment has changed or an earlier write is still in flight.
+ * Machines that the leader adopted stay in the shard's `joining` list until the state
+ * cache shows the record that names them, so that a lost transaction loses no machine. Returns
+ * whether a transaction was queued. No transaction is queued if no segment has changed, if an
+ * earlier write is still in flight, or if the shard has no lease record.
  */
 bool mv_partition_write(mv_membership *membership, mv_shard *shard);
 /**
