--- a/src/coordination/membership/election.c
+++ b/src/coordination/membership/election.c
@@ -17,7 +17,8 @@
 
 /* --- announcement --- */
 
-/* An entry of our own predecessor is overwritten: we are its only heir. */
+/* Writes this process's entry. An entry that an earlier process of the same node left is
+ * overwritten, because this process is that process's only successor. */
 static void put_own_entry(const mv_membership *membership, mv_action *transaction)
 {
     const mv_context *context = membership->context;
@@ -31,6 +32,7 @@
     mv_transaction_put(transaction, key, mv_lease_holder_pack(&holder), true);
 }
 
+/* Records that this node uses the current format, unless that is recorded already. */
 static void put_own_format(const mv_membership *membership, mv_action *transaction)
 {
     const mv_context *context = membership->context;
@@ -57,16 +59,18 @@
 
 /* --- leader --- */
 
-static void stand_for_leader(mv_membership *membership)
+/* Writes this process into the leader's record, under a new term, if there is no leader or the
+ * leader is an earlier process of the same node. */
+static void try_to_become_leader(mv_membership *membership)
 {
     mv_context *context = membership->context;
     const mv_lease_holder *leader = &membership->leader;
     const uint64_t incarnation = context->session.incarnation;
-    bool is_heir = membership->leader_revision &&
-                   strcmp(leader->node, context->settings->node_name) == 0 &&
-                   leader->incarnation != incarnation;
+    bool is_successor = membership->leader_revision &&
+                        strcmp(leader->node, context->settings->node_name) == 0 &&
+                        leader->incarnation != incarnation;
     mv_transaction_slot *slot = &membership->leader_transaction;
-    if ((membership->leader_revision && !is_heir) ||
+    if ((membership->leader_revision && !is_successor) ||
         mv_transaction_slot_busy(slot, &context->clock))
         return;
     mv_lease_holder candidate = {.incarnation = incarnation, .term = membership->term + 1};
@@ -84,7 +88,7 @@
     announce(membership);
     if (!is_announced(membership))
         return false;
-    stand_for_leader(membership);
+    try_to_become_leader(membership);
     return true;
 }
 
--- a/src/coordination/membership/state_cache.c
+++ b/src/coordination/membership/state_cache.c
@@ -6,10 +6,12 @@
 
 #include <string.h>
 
-/* --- what records have in common --- */
+/* --- revisions and lists --- */
 
-/* A list of many records comes in pages, each newer than the one before, and changes are watched
- * from the first page on: what a later page showed already must not go back to what it was. */
+/* A list of many records is read in pages, each newer than the page before, while changes are
+ * watched from the revision of the first page on. A watch can therefore deliver a change that is
+ * older than the record in a later page. Such a change is stale and must not overwrite the newer
+ * record. */
 bool mv_state_cache_accept(mv_membership *membership, const char *key, bool removed,
                            uint64_t revision)
 {
@@ -19,8 +21,10 @@
         mv_context_count_stale(membership->context, "record", key);
         return false;
     }
-    /* The same once more, as lists bring it: what was decided on it since stays. Read as news, the
-     * occupancy record took transfers back that the leader could still act upon. */
+    /* A list repeats records that the cache already has. A record with a known revision is ignored,
+     * so that decisions based on that revision stay valid. When a repeated occupancy record was
+     * applied as new, the owner forgot that machines were declared transferable while the leader
+     * could still transfer them. */
     if (known && !SAFETY_CHECK(REPEATED_RECORD, revision != *known))
         return false;
     if (removed)
@@ -52,8 +56,8 @@
 
 /* --- leader and term --- */
 
-void mv_state_cache_leader(mv_membership *membership, const msgpack_object *object,
-                           uint64_t revision)
+void mv_state_cache_apply_leader(mv_membership *membership, const msgpack_object *object,
+                                 uint64_t revision)
 {
     mv_lease_holder_clear(&membership->leader);
     membership->leader = (mv_lease_holder){0};
@@ -62,7 +66,8 @@
         membership->leader_revision = revision;
 }
 
-void mv_state_cache_term(mv_membership *membership, const msgpack_object *object, uint64_t revision)
+void mv_state_cache_apply_term(mv_membership *membership, const msgpack_object *object,
+                               uint64_t revision)
 {
     if (object && mv_counter_parse(object, &membership->term))
         membership->term_revision = revision;
@@ -71,8 +76,8 @@
 
 /* --- controllers --- */
 
-void mv_state_cache_node(mv_membership *membership, const char *name, const msgpack_object *object,
-                         uint64_t revision)
+void mv_state_cache_apply_node(mv_membership *membership, const char *name,
+                               const msgpack_object *object, uint64_t revision)
 {
     mv_lease_holder holder;
     if (!object || !mv_lease_holder_parse(object, &holder)) {
@@ -88,8 +93,8 @@
     g_hash_table_replace(membership->nodes, entry->node, entry);
 }
 
-void mv_state_cache_format(mv_membership *membership, const char *name,
-                           const msgpack_object *object, uint64_t revision)
+void mv_state_cache_apply_format(mv_membership *membership, const char *name,
+                                 const msgpack_object *object, uint64_t revision)
 {
     uint64_t format = 0;
     bool is_current = object &&
@@ -117,8 +122,9 @@
     }
 }
 
-/* Everything remembered of a shard is stale once its term changes hands: who owns it now, even we
- * ourselves after a restart, learns from the workers' heartbeats under the new term. */
+/* Forgets the state of a shard's machines and jobs. After a grant under a new term this state is
+ * stale. The new owner, even if it is the same controller as before a restart, learns the state
+ * from the agents' heartbeats under the new term. */
 static void reset_shard(mv_membership *membership, const mv_shard *shard)
 {
     GHashTableIter iter;
@@ -151,8 +157,8 @@
             shard->holder.node, shard->holder.term, shard->owned);
 }
 
-void mv_state_cache_shard(mv_membership *membership, unsigned index, const msgpack_object *object,
-                          uint64_t revision)
+void mv_state_cache_apply_shard(mv_membership *membership, unsigned index,
+                                const msgpack_object *object, uint64_t revision)
 {
     mv_context *context = membership->context;
     mv_shard *shard = mv_context_shard(context, index);
