--- a/src/coordination/agents/command_queue.c
+++ b/src/coordination/agents/command_queue.c
@@ -3,15 +3,18 @@
 #include "coordination/agents/command_list.h"
 #include "coordination/agents/machine.h"
 
-/* What an attempt's command is in uncertain_attempts: under way, or given up. */
+/* Values of mv_machine.uncertain_attempts: whether the command that carries the launch is still in
+ * flight, or was given up without an answer. */
 #define LAUNCH_IN_FLIGHT GINT_TO_POINTER(0)
 #define LAUNCH_GIVEN_UP GINT_TO_POINTER(1)
 
 /* --- sending --- */
 
-/* Its launches may arrive at any time until it is answered, be it in the end or never. The same
- * launch may have gone with a response to a heartbeat meanwhile: once a task was begun, stopped and
- * cleared that way while the command lay in our own queue for 13 s, and then begun once more. */
+/* Records the launches of a command as uncertain, because each launch may arrive at any time until
+ * the command is answered, which may never happen. Meanwhile a response to a heartbeat may carry
+ * the same launch. In one failure a task was started, stopped and cleared through such responses
+ * while the command waited in this controller's own queue for 13 s; the command then started the
+ * task a second time. */
 static void mark_launches_in_flight(const mv_context *context, mv_machine *machine,
                                     const GArray *commands)
 {
@@ -22,7 +25,8 @@
         if (g_hash_table_size(machine->uncertain_attempts) == 0)
             machine->uncertain_since = context->clock.now;
         g_autofree char *key = mv_attempt_key(command->job_id, command->task, command->attempt);
-        /* An earlier copy may still arrive too. */
+        /* An attempt that is recorded already keeps its value, because the earlier copy of the
+         * launch may still arrive too. */
         if (!g_hash_table_contains(machine->uncertain_attempts, key))
             g_hash_table_insert(machine->uncertain_attempts, g_steal_pointer(&key),
                                 LAUNCH_IN_FLIGHT);
@@ -65,7 +69,7 @@
     return placement->reported && should_stop && placement->stop_sent_at == 0;
 }
 
-/* Commands that should not wait for the next heartbeat. */
+/* Returns the launches and stops that should not wait for the machine's next heartbeat. */
 static GArray *collect_urgent_commands(mv_agents *agents, mv_machine *machine)
 {
     GArray *commands = mv_command_list_new();
@@ -85,7 +89,8 @@
     return commands;
 }
 
-/* Whether a machine that wants a command leaves the queue of those. */
+/* Sends the machine's command if one may be sent now. Returns whether the machine leaves the
+ * command queue. */
 static bool flush_machine_command(mv_agents *agents, mv_machine *machine)
 {
     if (!machine->command_requested || !machine->address[0] || !machine->shard ||
@@ -105,11 +110,12 @@
 
 /* --- the window --- */
 
-/* A command costs about ten times as much processor as a response to a heartbeat, which carries the
- * same commands a little later. With 4,000 machines on the processor of 1,200, commands took most
- * of it while the fleet booted: heartbeats and users' requests were answered too late, were sent
- * once more, and the controllers never caught up. So commands give way first: additive increase,
- * multiplicative decrease. */
+/* A direct command costs about ten times as much processor time as a response to a heartbeat, which
+ * carries the same commands a little later. When controllers with processors for 1,200 machines had
+ * 4,000 machines, direct commands took most of the processor time while the fleet booted:
+ * heartbeats and users' requests were answered too late and sent again, and the controllers never
+ * caught up. So an overloaded controller reduces direct commands first, by additive increase and
+ * multiplicative decrease of the window. */
 void mv_command_window_adapt(mv_agents *agents, double tick_gap_s)
 {
     double *window = &agents->command_window;
@@ -129,7 +135,7 @@
     GPtrArray *queue = agents->command_queue;
     guint remaining = 0;
     if (window_is_full(agents))
-        return; /* asked at every event */
+        return; /* this function runs at every event: skip the scan of the queue */
     for (guint i = 0; i < queue->len; i++) {
         mv_machine *machine = g_ptr_array_index(queue, i);
         if (!window_is_full(agents) && flush_machine_command(agents, machine))
@@ -140,15 +146,16 @@
     g_ptr_array_set_size(queue, (gint)remaining);
 }
 
-/* --- what becomes of them --- */
+/* --- results --- */
 
 mv_machine *mv_commands_find(const mv_agents *agents, uint64_t id)
 {
     return g_hash_table_lookup(agents->commands_in_flight, &id);
 }
 
-/* A launch that waited in a queue since before a network partition is not sent: the job may have
- * been cancelled, and its end could not be recorded. */
+/* Returns whether the launch gate allows every launch of the command. A launch that has waited in a
+ * queue since before a network partition must not be sent: its job may have been cancelled
+ * meanwhile, and this controller could not record the end of the task. */
 static bool launches_are_allowed(mv_agents *agents, const mv_action *action)
 {
     if (mv_launch_allowed_all(agents->launch_control))
@@ -199,8 +206,10 @@
     mv_machine_request_command(agents, machine);
 }
 
-/* Counts only while other machines respond: otherwise it may be this controller's own link that
- * fails. Counted during a network partition, it had working machines released as that ended. */
+/* Counts an unanswered command. The command counts as a failed probe of the machine only if some
+ * machine of the shard has sent a heartbeat since the command was sent; otherwise this controller's
+ * own link may have failed. When failed probes were counted during a network partition, working
+ * machines were released as the partition ended. */
 static void count_unanswered(const mv_context *context, mv_machine *machine)
 {
     bool listening = machine->shard &&
@@ -209,9 +218,10 @@
     machine->commands_failed++;
     if (listening)
         machine->probes_failed++;
-    /* The same for commands that do not arrive: with probes of a network partition of ours counted,
-     * a machine at work was taken for unreachable with its first heartbeat after it, and
-     * returned. */
+    /* The same condition holds for the count that makes a machine unreachable for commands. When
+     * probes sent while this controller was isolated were counted there, a working machine was
+     * found unreachable at its first heartbeat after the network partition, and was returned to the
+     * cloud. */
     if (SAFETY_CHECK(OWN_ISOLATION, listening) && machine->unanswered_while_reporting++ == 0)
         machine->unreachable_while_reporting_since = context->clock.now;
     if (!machine->unreachable_since)
@@ -219,7 +229,8 @@
     machine->unanswered_commands++;
 }
 
-/* Nothing new is placed there until something gets through, so it is probed again. */
+/* Requests another probe after a pause that grows with each unanswered command. Without a probe the
+ * machine could stay unused, because no task is placed on it until a command gets through. */
 static void probe_again(mv_agents *agents, mv_machine *machine)
 {
     const mv_context *context = agents->context;
--- a/src/coordination/agents/health.c
+++ b/src/coordination/agents/health.c
@@ -3,11 +3,11 @@
 #include "coordination/agents/placement.h"
 #include "telemetry/log.h"
 
-/* Whether a job did well elsewhere, in failed_jobs. */
+/* Values of mv_machine.failed_jobs: whether the job has been seen to succeed on another machine. */
 #define JOB_NOT_PROVEN GUINT_TO_POINTER(0)
 #define JOB_DID_WELL GUINT_TO_POINTER(1)
 
-/* --- in turn --- */
+/* --- rotation --- */
 
 guint mv_health_check_count(const mv_agents *agents)
 {
@@ -23,8 +23,9 @@
 
 /* --- stragglers --- */
 
-/* A task far beyond what its fellows took shows a slow machine before it ends; without new samples
- * the judgement decays, for slowness may pass. */
+/* Updates the machine's slowdown. A running task that has already taken much longer than the job's
+ * other tasks shows a slow machine before the task ends, so the task's run time up to now raises
+ * the slowdown. Without new samples the slowdown decays towards 1, because the cause may pass. */
 static void update_slowdown(const mv_context *context, mv_machine *machine)
 {
     const double now = context->clock.now;
@@ -41,8 +42,10 @@
     }
 }
 
-/* So slow that its tasks would be over sooner elsewhere, begun anew: it is emptied and returned.
- * Replicas lose nothing by it and move when there is room. */
+/* Quarantines a machine that is so slow that its tasks would finish sooner if they were restarted
+ * on another machine. A quarantined machine is emptied and returned to the cloud. Replicas are not
+ * stopped here: a replica loses no work by staying, and the scheduler moves the replica when
+ * another machine has room. */
 static void quarantine_straggler(mv_agents *agents, mv_machine *machine)
 {
     if (machine->slowdown < MV_STRAGGLER_SLOWDOWN || machine->quarantined)
@@ -71,9 +74,9 @@
     return job && (job->tasks_done > 0 || (job->spec.service && job->tasks_running > 0));
 }
 
-/* A failure speaks against the machine only once the same job did well elsewhere; jobs with a
- * mistake of their own fail everywhere, and two such jobs once condemned every machine they had
- * touched. */
+/* Returns how many jobs failed on this machine but succeeded on another machine. Other failures do
+ * not count against the machine, because a faulty job fails on every machine: when they were
+ * counted, two faulty jobs quarantined every machine that had run their tasks. */
 static unsigned count_proven_failures(const mv_agents *agents, mv_machine *machine)
 {
     unsigned proven = 0;
@@ -105,13 +108,13 @@
 
 /* --- missing heartbeats --- */
 
-/* What there is to judge a machine without heartbeats by. */
+/* How long a machine has sent no heartbeat, and the limits that apply to the machine. */
 typedef struct {
-    double since;          /* the gap counts from then at the earliest */
-    double gap_s;          /* since its last heartbeat */
-    bool expected;         /* a heartbeat of it is due */
-    double probe_after_s;  /* of gap it is probed, */
-    double failed_after_s; /* and failed if probes get no answer */
+    double since;          /* steady seconds; the gap is never counted from before this time */
+    double gap_s;          /* time since the last heartbeat, or since `since` if that is later */
+    bool expected;         /* the machine has sent heartbeats before or may hold tasks */
+    double probe_after_s;  /* a machine with a longer gap is probed */
+    double failed_after_s; /* a machine with a longer gap that answers no probe is failed */
 } heartbeat_gap;
 
 static heartbeat_gap measure_gap(const mv_context *context, const mv_machine *machine)
@@ -125,9 +128,9 @@
         .failed_after_s = MV_FAILED_HEARTBEATS * interval_s,
     };
     gap.gap_s = context->clock.now - MAX(machine->last_heartbeat_at, gap.since);
-    /* Heartbeats are seconds apart and a lost replica is missed at once: such machines are few and
-     * probed without waiting for their heartbeats. That took nine seconds of the twelve until a
-     * replica was up again. */
+    /* Users notice a lost replica at once, but heartbeats are seconds apart: waiting for them took
+     * 9 s of the 12 s until a lost replica was running again. Machines with replicas are few, so
+     * this controller probes them without waiting for an overdue heartbeat. */
     if (mv_machine_replica_count(machine) > 0) {
         gap.probe_after_s = MIN(gap.probe_after_s, MV_REPLICA_PROBE_AFTER_S);
         gap.failed_after_s = MIN(gap.failed_after_s, MV_REPLICA_FAILED_AFTER_S);
@@ -135,8 +138,10 @@
     return gap;
 }
 
-/* After a failover probe rather than wait for the worker to find us; a large fleet only those that
- * did not come by themselves, for probing a thousand costs more than they do. */
+/* Returns whether this controller should send a command to an unconfirmed machine. After a failover
+ * the new owner probes machines instead of waiting until each agent has found the new owner. In a
+ * large shard the owner probes only machines that are still unconfirmed after MV_PROBE_GRACE_S,
+ * because 1,000 probes cost the owner more than 1,000 heartbeats. */
 static bool should_contact(const mv_context *context, const mv_machine *machine)
 {
     double contacted_at = MAX(machine->shard->listening_since, machine->fenced_response_at);
@@ -146,7 +151,8 @@
     return !machine->confirmed && !in_grace && machine->address[0] && is_up;
 }
 
-/* A heartbeat may be lost and its repetition go to a peer first: probe before judging. */
+/* Requests a probe of a machine whose heartbeat is overdue. A heartbeat may be lost, and the agent
+ * may send the retry to another controller first, so a machine is probed before it is failed. */
 static void probe_quiet(mv_agents *agents, mv_machine *machine, const heartbeat_gap *gap)
 {
     if (should_contact(agents->context, machine))
@@ -158,9 +164,11 @@
     mv_machine_request_command(agents, machine);
 }
 
-/* After a failover every machine is probed and all tasks known from before wait for the last
- * answer: one more probe instead of the wait for heartbeats, and not even that where there is no
- * sign of it at all. A hundred dead machines once held up a failover for 20 s. */
+/* Returns whether an unconfirmed machine has left enough probes unanswered to be failed without the
+ * wait for its heartbeats. After a failover the new owner probes every machine, and all tasks from
+ * before the failover wait until the last machine has answered or is failed: 100 dead machines once
+ * delayed a failover by 20 s. A machine that has given a sign of life since this controller began
+ * to listen gets one more probe. */
 static bool has_no_trace(const mv_machine *machine, const heartbeat_gap *gap)
 {
     unsigned extra_probes = machine->last_sign_at > gap->since ? 1 : 0;
@@ -177,8 +185,9 @@
            gap->gap_s > anyway_s;
 }
 
-/* Its tasks stay placed: a missing heartbeat does not prove that they ended. They wait until it is
- * in no partition. */
+/* Updates whether the machine is failed. The tasks of a failed machine stay placed until no
+ * partition names the machine any more, because a missing heartbeat does not prove that the tasks
+ * ended. */
 static void update_failed(mv_agents *agents, mv_machine *machine, const heartbeat_gap *gap)
 {
     bool lost = is_lost(agents->context, machine, gap);
@@ -194,7 +203,9 @@
 
 /* --- reclaim notices --- */
 
-/* A task that saves may be stopped in time for the notice; others may still end by then. */
+/* Stops tasks with checkpoints early enough that each can save before the cloud reclaims the
+ * machine. Tasks without checkpoints keep running, because they may still finish before that time.
+ */
 static void stop_before_reclaim(mv_agents *agents, mv_machine *machine)
 {
     if (!machine->reclaim_at)
