--- a/src/coordination/agents/heartbeat.c
+++ b/src/coordination/agents/heartbeat.c
@@ -20,7 +20,9 @@
 
 /* --- the agent epoch --- */
 
-/* Its lease expired although its heartbeats were answered: the answers may not reach it. */
+/* Marks the machine unreachable, and probes it, if the agent's lease expired although this
+ * controller received a heartbeat within the time of the lease: the answers may not reach the
+ * agent. */
 static void suspect_unreachable(mv_agents *agents, mv_machine *machine)
 {
     const mv_context *context = agents->context;
@@ -33,7 +35,8 @@
     mv_machine_request_command(agents, machine);
 }
 
-/* Its lease expired: everything of earlier epochs is gone. */
+/* Removes and requeues the tasks of earlier agent epochs: a new epoch shows that the agent's lease
+ * expired, and all tasks ended with the lease. */
 static void remove_earlier_epochs(mv_agents *agents, mv_machine *machine, uint64_t agent_epoch)
 {
     for (guint i = machine->placements->len; i-- > 0;) {
@@ -55,8 +58,10 @@
 
 /* --- exited tasks --- */
 
-/* A worker reports again after every change of its tasks, a clear among them: in a large fleet
- * several are cleared at once. */
+/* Returns whether the exited tasks of this heartbeat are to be cleared now. An agent sends another
+ * heartbeat after every change of its tasks, also after a clear. So in a large shard
+ * MV_CLEAR_BATCH exited tasks are cleared together, or fewer after MV_CLEAR_INTERVAL_S, to save
+ * heartbeats. */
 static bool should_clear_exited(const mv_context *context, const mv_machine *machine,
                                 const mv_heartbeat *heartbeat)
 {
@@ -68,7 +73,8 @@
     return small_shard || exited >= MV_CLEAR_BATCH || overdue;
 }
 
-/* After a clear the worker would start a launch that still arrives late. */
+/* Appends the clear of an exited task, unless a launch of the same attempt may still arrive: after
+ * the clear the agent would start the task again if that launch arrived. */
 static void append_clear(const mv_machine *machine, const mv_reported_task *task, GArray *commands)
 {
     if (!machine->clears_exited)
@@ -81,8 +87,10 @@
         mv_command_append(commands, MV_COMMAND_CLEAR, task, 0);
 }
 
-/* Whatever ended a replica, it has to run again, and nothing is recorded. One that did not last is
- * tried again after a pause; a machine is to blame only for errors. */
+/* Handles the end of a replica. Whatever the reason, the replica has to run again, so no completion
+ * is recorded. A replica that ended by itself before MV_REPLICA_LIFETIME_MIN_S is retried after a
+ * back-off. Only an error counts as a failure on the machine. A refused launch pauses launches on
+ * the machine. */
 static void replica_exited(mv_agents *agents, mv_machine *machine, mv_job *job,
                            const mv_placement *placement, mv_exit_reason reason)
 {
@@ -144,7 +152,7 @@
     mv_placement_remove(agents, machine, (guint)index, true);
 }
 
-/* The index of the placement of exactly this attempt; -1: none. */
+/* Returns the index of the placement with the reported task's attempt; -1: none. */
 static int find_attempt(const mv_machine *machine, const mv_reported_task *task)
 {
     int index = mv_placement_find(machine, task->job_id, task->task);
@@ -165,7 +173,8 @@
         reconcile_exited_replica(agents, machine, job, task, index);
     } else if (task->exit_reason == MV_EXIT_DONE) {
         reconcile_completed_task(agents, machine, job, task, index);
-        /* Recorded first: until then this heartbeat is the only proof. */
+        /* The task is cleared only after its completion is recorded: until then the agent's
+         * heartbeats are the only proof of the completion. */
         if (job->task_states[task->task] != MV_TASK_STATE_RECORDED)
             return;
     } else {
@@ -176,7 +185,8 @@
 
 /* --- active tasks --- */
 
-/* A task found on a machine by a controller that does not remember placing it. */
+/* Adds a placement for a reported task that this controller has no record of placing, for example
+ * after a failover. */
 static mv_placement *adopt_reported_task(mv_agents *agents, mv_machine *machine, mv_job *job,
                                          const mv_reported_task *task)
 {
@@ -189,7 +199,8 @@
     return placement;
 }
 
-/* The placement that an active task belongs to, perhaps a new one; NULL: it may not go on. */
+/* Returns the placement of a reported active task; adopts the task if it is still pending. NULL:
+ * the task must be stopped. */
 static mv_placement *match_active_task(mv_agents *agents, mv_machine *machine, mv_job *job,
                                        const mv_reported_task *task)
 {
@@ -216,13 +227,13 @@
 {
     const mv_context *context = agents->context;
     mv_placement *placement = match_active_task(agents, machine, job, task);
-    if (!placement) { /* of an ended job, a second copy, or done already */
+    if (!placement) { /* its job ended, another attempt is placed, or the task is done */
         machine->unknown_tasks++;
         mv_command_append(commands, MV_COMMAND_STOP, task, 0);
         return;
     }
     mark_reported(machine, placement);
-    if (!job) { /* cancelled */
+    if (!job) { /* the job was cancelled or ended */
         if (!SAFETY_CHECK(CANCELLED, false))
             mv_command_append(commands, MV_COMMAND_STOP, task, 0);
         return;
@@ -255,17 +266,19 @@
     const mv_placement *placement = g_ptr_array_index(machine->placements, index);
     bool in_flight = placement->launch_sent && machine->command_id;
     if (placement->reported || placement->agent_epoch < agent_epoch) {
-        mv_placement_remove(agents, machine, index, true); /* it was there, or its epoch ended */
+        mv_placement_remove(agents, machine, index,
+                            true); /* the task ended, or its agent epoch did */
     } else if (!placement->job) {
-        /* Cancelled before it was seen: gone once no launch can arrive any more. */
+        /* The job ended before any heartbeat showed the task: the placement stays until no launch
+         * of the task can arrive any more. */
         if (!in_flight && !placement->launch_unanswered)
             mv_placement_remove(agents, machine, index, false);
     } else if (!in_flight && mv_launch_allowed(agents->launch_control, placement->job)) {
-        mv_command_append_launch(commands, placement); /* the same attempt again does no harm */
+        mv_command_append_launch(commands, placement); /* idempotent: the same attempt */
     }
 }
 
-/* Placements that a newer heartbeat does not show. */
+/* Reconciles the placements that a newer heartbeat does not list. */
 static void reconcile_missing_tasks(mv_agents *agents, mv_machine *machine,
                                     const mv_heartbeat *heartbeat, GArray *commands)
 {
@@ -276,8 +289,10 @@
 
 /* --- a heartbeat --- */
 
-/* The response shows the worker our token, and its next heartbeat, which follows at once, shows us
- * its tasks. A fleet that all comes at once need not be probed besides. */
+/* Handles a newer heartbeat under an older fencing token. The response gives the agent the current
+ * token, and the agent at once sends another heartbeat, which lists its tasks under that token. So
+ * the machines of a large shard, which all report at the same time after a failover, are not probed
+ * as well. */
 static void apply_old_token(mv_agents *agents, mv_machine *machine)
 {
     if (machine->shard->machine_count <= MV_HEALTH_CHECK_MIN)
@@ -299,7 +314,8 @@
     machine->failed = mv_machine_commands_unreachable(context, machine);
 }
 
-/* Nothing sent under an older token can arrive any more. */
+/* Forgets launches without an answer: the agent has seen a newer fencing token and so rejects every
+ * command under an older token. */
 static void forget_uncertain_launches(mv_machine *machine)
 {
     g_hash_table_remove_all(machine->uncertain_attempts);
@@ -338,8 +354,9 @@
         machine->last_clear_at = context->clock.now;
 }
 
-/* Idle from now on: with its boot counted as idleness, a machine that took its time was returned
- * seconds after it came up. */
+/* Starts the machine's idle time at its first heartbeat under the current fencing token. When the
+ * boot counted as idle time, a machine that booted slowly was returned to the cloud seconds after
+ * the boot. */
 static void begin_service(mv_context *context, mv_machine *machine, size_t task_count)
 {
     machine->idle_since = context->clock.now;
--- a/src/coordination/agents/heartbeat.h
+++ b/src/coordination/agents/heartbeat.h
@@ -1,37 +1,42 @@
 /**
- * Heartbeats with status: what they prove, and the commands that follow.
+ * Reconciliation of heartbeats: what a heartbeat proves, and which commands the agent gets for it.
  *
- * The order of evidence holds for heartbeats and for the answers of commands alike. What is not
- * newer by (agent epoch, sequence) than all before is a copy or came late, and proves nothing. What
- * is newer but was written under an older fencing token proves which epoch it is, no more: a copy
- * of it may be minutes old and new only to us, who have not known the machine for long; it is no
- * sign of life, and what it does not list may yet start by an older owner's command. Only under our
- * own token does a heartbeat tell what is on the machine.
+ * These rules hold for heartbeats and for the answers to direct commands, which carry a heartbeat:
+ * - A heartbeat that is not newer by (agent epoch, sequence) than all earlier ones is a copy or
+ *   arrived late. It is stale and proves nothing.
+ * - A newer heartbeat under an older fencing token proves the agent epoch only. It may be a copy
+ *   that is minutes old and is new only to a controller that has not owned the machine for long. So
+ *   it does not prove that the machine is alive, and a task that it does not list may still be
+ *   started by a command of an earlier owner.
+ * - Only a newer heartbeat under the current owner's fencing token proves which tasks are on the
+ *   machine.
  */
 #ifndef MV_HEARTBEAT_H
 #define MV_HEARTBEAT_H
 #include "coordination/agents/agents.h"
 
-/** What a heartbeat proves, by agent epoch, sequence and fencing token; see above. */
+/** What a heartbeat proves, by agent epoch, sequence and fencing token. */
 typedef enum {
     MV_HEARTBEAT_STALE,     /**< proves nothing */
     MV_HEARTBEAT_OLD_TOKEN, /**< proves the agent epoch */
     MV_HEARTBEAT_CURRENT    /**< proves which tasks are on the machine */
 } mv_heartbeat_order;
 
-/** What a heartbeat of the machine proves. */
+/** Returns what a heartbeat of the machine proves; changes nothing. */
 mv_heartbeat_order mv_heartbeat_compare(const mv_machine *machine, const mv_heartbeat *heartbeat);
 /**
- * Applies what a heartbeat that is not stale proves. Appends to `commands` what the worker should
- * do.
+ * Applies a heartbeat that is not stale to the machine, its placements and their jobs. Appends to
+ * `commands` (mv_command) the commands for the agent.
  */
 void mv_heartbeat_apply(mv_agents *agents, mv_machine *machine, const mv_heartbeat *heartbeat,
                         mv_heartbeat_order order, GArray *commands);
 /**
- * Whether a launch may still arrive of a task whose job is over. While heartbeats were answered the
- * lease held, so a command that had been held back for longer than cancel_s could have begun it
- * then. Without an answer the epoch ends; a higher token, which the leader is asked for, ends it
- * sooner, and that has to be published.
+ * Returns whether a launch of a task may still arrive although its job ended more than
+ * MV_CANCELLED_LAUNCH_GRACE_S ago. The owner must then refuse the machine's heartbeats: a heartbeat
+ * that is answered renews the agent's lease, and under that lease a command that was delayed for
+ * longer than cancel_s could still start the task. Without an answer the lease and the agent epoch
+ * end. A higher fencing token makes the launch invalid sooner, but the owner has to request that
+ * token in its published demand, and the leader has to record the token.
  */
 bool mv_machine_cancelled_task_may_launch(const mv_context *context, const mv_machine *machine);
 #endif
