--- a/src/coordination/agents/agents.c
+++ b/src/coordination/agents/agents.c
@@ -55,7 +55,8 @@
     return machine;
 }
 
-/* The last in turn takes its place: closing the gap would move every other. */
+/* Removes the machine from the rotation and moves the last machine into its place, because closing
+ * the gap would change the index of every later machine. */
 static void leave_rotation(mv_agents *agents, const mv_machine *machine)
 {
     guint index = machine->rotation_index;
--- a/src/coordination/agents/agents.h
+++ b/src/coordination/agents/agents.h
@@ -1,145 +1,160 @@
 /**
- * Machines and what is placed on them: the types of this module and its registry.
+ * Machines and the tasks placed on them: the types of this module, and the registry of machines.
  *
- * A machine is known from the record of a partition segment that names it. What is on it is known
- * from its heartbeats under our fencing token (`confirmed`), and from our own launches since.
+ * A controller learns of a machine from the record of a partition segment that names the machine.
+ * The owner learns which tasks are on the machine from the heartbeats under the owner's fencing
+ * token (`confirmed`), and from the owner's own launches after the first of these heartbeats.
  */
 #ifndef MV_AGENTS_H
 #define MV_AGENTS_H
 #include "coordination/agents/launch_control.h"
 #include "coordination/jobs/job.h"
 
-/** A task on a machine, from the moment its launch may be executed until it is known to be gone. */
+/**
+ * A task on a machine, from the moment at which the agent may execute the task's launch until the
+ * task is known to have ended.
+ */
 typedef struct {
     char job_id[MV_ID_SIZE];
-    mv_job *job; /**< NULL once the job's live record is gone */
+    mv_job *job; /**< NULL after the job's live record was removed */
     uint32_t task;
     uint64_t attempt, agent_epoch;
     mv_team *team;
     double cores, gpus, ram_gb;
-    double placed_at, running_at; /**< running_at 0: no heartbeat has shown it running */
-    bool reported;                /**< a heartbeat has shown it */
-    bool launch_sent;             /**< a direct command with its launch was sent */
-    bool launch_unanswered;       /**< ... and got no answer: it may still arrive */
+    double placed_at, running_at; /**< running_at 0: no heartbeat has shown the task running */
+    bool reported;                /**< a heartbeat has listed the task */
+    bool launch_sent;             /**< a direct command with the launch was sent */
+    bool launch_unanswered;       /**< a sent launch got no answer and may still arrive */
     bool stopping;
-    bool skip_checkpoint;   /**< stops without writing a checkpoint */
-    bool preemption_exempt; /**< the first task of a job that had starved */
-    bool service;           /**< a replica */
-    bool adopted; /**< found after a failover: when it began is not known, and nothing is learned
-                     of it */
-    double stop_sent_at;
-    double job_ended_at; /**< when its job was seen to be over, if `job` is NULL */
+    bool skip_checkpoint;   /**< the task is stopped without a checkpoint */
+    bool preemption_exempt; /**< the first task of a job that had starved: never preempted */
+    bool service;           /**< the task is a replica of a service */
+    bool adopted;           /**< found on the machine after a failover: the start time is not known,
+                               so the task's run time is no sample for estimates */
+    double stop_sent_at;    /**< 0: no direct command with a stop was sent */
+    double job_ended_at;    /**< when the job was seen to have ended, if `job` is NULL */
 } mv_placement;
 
-/** An image in a machine's cache. Images go by number within a process. */
+/** An image in a machine's cache, identified by a number that is valid within this process. */
 typedef struct {
     unsigned image;
     double size_gb;
 } mv_cached_image;
 
 /**
- * A machine of the fleet and what this controller knows of it, whichever shard it belongs to. Times
- * are steady seconds. mv_machine_reset forgets what is on it, and what commands found.
+ * What this controller knows of one machine of the fleet, in any shard. Times are steady seconds.
+ * mv_machine_reset clears the placements and the results of commands.
  */
 typedef struct {
     char id[MV_NAME_SIZE], address[64], type_name[MV_NAME_SIZE], zone_name[MV_NAME_SIZE];
     bool spot;
     double rented_at;
-    unsigned zone;        /**< number of the zone named above */
-    guint rotation_index; /**< its place in the rotation */
-    int type_index;       /**< in the catalog; -1: not looked up, or unknown */
-    /* its partition */
-    mv_shard *shard;  /**< NULL once it is in no partition */
-    unsigned segment; /**< which record of the partition names it */
+    unsigned zone;        /**< number of the zone `zone_name` */
+    guint rotation_index; /**< index in the registry's `rotation` */
+    int type_index;       /**< index in the catalog; -1: not looked up yet, or unknown */
+    /* the machine's partition */
+    mv_shard *shard;  /**< NULL: the machine is in no partition */
+    unsigned segment; /**< index of the segment that names the machine */
     double joined_partition_at;
     uint64_t member_term;
-    bool occupied;    /**< recorded as a machine that may hold tasks */
-    bool known_empty; /**< joined after our grant: nothing can be on it yet */
-    bool departing; /**< its segment names it no more; perhaps another of the same revision does */
-    /* what its heartbeats say */
+    bool occupied;    /**< the occupancy record says that the machine may hold tasks */
+    bool known_empty; /**< the machine joined after the present owner's grant, so no task of this
+                         partition can be on it yet */
+    bool departing;   /**< its segment's record names the machine no more, but another segment of
+                         the same revision may */
+    /* from the machine's heartbeats */
     uint64_t agent_epoch, sequence;
     double last_heartbeat_at;  /**< 0: never */
-    double last_sign_at;       /**< any sign, also under an older fencing token */
-    double lease_renewed_at;   /**< a heartbeat was answered: that alone renews its lease */
-    double fenced_response_at; /**< a heartbeat under an older token got ours in answer */
-    bool confirmed;            /**< under the present fencing token */
-    double reclaim_at;         /**< when the cloud takes it; 0: no notice */
-    bool clears_exited;        /**< exited tasks of the heartbeat at hand are cleared */
+    double last_sign_at;       /**< last sign of life, also under an older fencing token */
+    double lease_renewed_at;   /**< when this controller last answered a heartbeat: only an answer
+                                  renews the agent's lease */
+    double fenced_response_at; /**< when a heartbeat under an older fencing token was last answered
+                                  with the current token */
+    bool confirmed;            /**< a heartbeat came under the current fencing token */
+    double reclaim_at;         /**< when the cloud reclaims the machine; 0: no notice */
+    bool clears_exited;        /**< the exited tasks of the current heartbeat are cleared */
     double last_clear_at;
-    /* what is on it */
-    GPtrArray *placements;             /**< mv_placement, owned */
-    mv_resources allocated, releasing; /**< by all placements, and by those that are stopping */
-    unsigned unknown_tasks;            /**< active tasks of unknown jobs */
-    GArray *images;                    /**< mv_cached_image, most recently used last */
+    /* tasks and resources */
+    GPtrArray *placements; /**< mv_placement, owned */
+    mv_resources allocated,
+        releasing;          /**< resources of all placements, and of those that are stopping */
+    unsigned unknown_tasks; /**< active tasks in the last heartbeat that match no placement */
+    GArray *images;         /**< mv_cached_image, most recently used last */
     double idle_since;
-    mv_resources nominated; /**< within a round: room being made for pending tasks */
-    /** Attempts whose launch may still arrive: never cleared under this token. The value tells
-     * whether its command was given up (1) or is still under way (0). */
+    mv_resources nominated; /**< reserved for pending tasks within a scheduling round */
+    /** Attempts whose launch may still arrive, by mv_attempt_key: under the current fencing token
+     * the agent gets no clear command for them. The value says whether the command with the launch
+     * was given up without an answer (1) or is still in flight (0). */
     GHashTable *uncertain_attempts;
-    double uncertain_since;
+    double uncertain_since; /**< when the first attempt entered the empty `uncertain_attempts` */
     /* direct commands */
     uint64_t command_id; /**< 0: none in flight */
     double command_sent_at;
     bool command_requested, probe_requested;
     bool in_command_queue;
     double commands_paused_until;
-    unsigned commands_failed;     /**< in a row */
-    unsigned probes_failed;       /**< of them, those while other machines responded */
-    double unreachable_since;     /**< when something of ours first got no answer; 0: all arrived */
-    unsigned unanswered_commands; /**< since then */
-    double
-        unreachable_while_reporting_since; /**< the first missed while heartbeats came; 0: none */
-    unsigned unanswered_while_reporting;
-    double launches_paused_until; /**< a launch was refused: our state of it is stale */
+    unsigned commands_failed; /**< commands without an answer, in a row */
+    unsigned probes_failed;   /**< those of `commands_failed` that got no answer while machines
+                                 of the shard sent heartbeats */
+    double unreachable_since; /**< when a command first got no answer; 0: all commands arrived */
+    unsigned unanswered_commands; /**< commands without an answer since `unreachable_since` */
+    /** When a command first got no answer while heartbeats arrived; 0: never. */
+    double unreachable_while_reporting_since;
+    unsigned unanswered_while_reporting; /**< commands without an answer since then */
+    double launches_paused_until; /**< the machine refused a launch, so this controller's record of
+                                     the machine is stale */
     /* health */
-    bool release_pending; /**< idle, to be returned to the cloud */
-    bool quarantined;     /**< gets nothing more, is emptied and returned */
-    bool failed;   /**< heartbeat timeout or commands unreachable; its tasks stay placed until it is
-                      gone */
-    bool draining; /**< gets a task only where no other machine has room */
+    bool release_pending; /**< idle, and to be returned to the cloud */
+    bool quarantined;     /**< gets no more tasks, is emptied and returned to the cloud */
+    bool failed;          /**< heartbeat timeout or commands unreachable; the machine's tasks stay
+                             placed until the machine is in no partition */
+    bool draining;        /**< gets a task only if no other machine has room for the task */
     double draining_since;
-    bool evicting;                  /**< emptied for services of other shards */
-    uint64_t transferable_revision; /**< of its occupancy record when it was declared transferable;
-                                       0: it is not */
-    double
-        slowdown; /**< run times here over those of the same jobs elsewhere, smoothed; 1: alike */
+    bool evicting; /**< being emptied for services of other shards */
+    /** Revision of the segment's occupancy record when the owner declared the machine transferable;
+     * 0: the machine is not transferable. */
+    uint64_t transferable_revision;
+    /** Run times on this machine divided by those of the same jobs on all machines, smoothed; 1: no
+     * difference. */
+    double slowdown;
     double slowdown_updated_at;
-    GHashTable *failed_jobs; /**< job id -> whether the job did well elsewhere */
-    /* as the leader sees it */
-    bool listed, listed_failed; /**< in the cloud's machine list */
-    unsigned lists_missed;
-    mv_machine_summary summary; /**< what its owner last published */
-    double summary_at;          /**< 0: never */
-    bool released;              /**< returned, its name not yet out of the partition */
-    bool moving;                /**< chosen in this round for another shard */
+    GHashTable *failed_jobs; /**< job id -> whether the job has been seen to succeed elsewhere */
+    /* the leader's view */
+    bool listed;                /**< the cloud's machine list has named the machine */
+    bool listed_failed;         /**< the cloud's machine list says that the machine failed */
+    unsigned lists_missed;      /**< complete lists in a row that no longer name the machine */
+    mv_machine_summary summary; /**< what the owner last published of the machine */
+    double summary_at;          /**< when `summary` arrived; 0: never */
+    bool released;              /**< returned to the cloud, but its partition still names it */
+    bool moving;                /**< chosen for a transfer to another shard in this round */
 } mv_machine;
 
-/** Machines of all shards, and commands to them. */
+/** The registry: the machines of all shards, and the commands in flight to them. */
 typedef struct {
     mv_context *context;
     mv_job_table *jobs;
     mv_launch_control *launch_control;
     GHashTable *machines;           /**< id -> mv_machine, owned */
-    GPtrArray *rotation;            /**< mv_machine, in turn */
-    GHashTable *zones;              /**< zone -> number */
-    guint next_health_check;        /**< where health checks go on in the rotation */
-    GPtrArray *command_queue;       /**< mv_machine that want a direct command */
-    GHashTable *commands_in_flight; /**< id of a command -> mv_machine */
-    double command_window;          /**< commands that may be in flight at once */
-    GPtrArray *nominated;           /**< mv_machine with nominations of this round */
+    GPtrArray *rotation;            /**< every mv_machine; health checks go round in this order */
+    GHashTable *zones;              /**< zone name -> number */
+    guint next_health_check;        /**< index in `rotation`, modulo its length */
+    GPtrArray *command_queue;       /**< mv_machine that wait for a direct command */
+    GHashTable *commands_in_flight; /**< command id -> mv_machine */
+    double command_window;          /**< number of commands that may be in flight at once */
+    GPtrArray *nominated;           /**< mv_machine with nominations in this round */
 } mv_agents;
 
 /**
- * Initialises a registry without machines. The other modules are borrowed and must outlive it; call
- * mv_agents_clear at the end.
+ * Initialises an empty registry. `context`, `jobs` and `launch_control` are borrowed and must
+ * outlive it; call mv_agents_clear at the end.
  */
 void mv_agents_init(mv_agents *agents, mv_context *context, mv_job_table *jobs,
                     mv_launch_control *launch_control);
-/** Frees all machines with their placements, and the lists; not `agents` itself. */
+/** Frees all machines with their placements, and the lists, but not `agents` itself. */
 void mv_agents_clear(mv_agents *agents);
-/** The machine of that name, or NULL. */
+/** Returns the machine with this id, owned by the registry, or NULL. */
 mv_machine *mv_agents_find(const mv_agents *agents, const char *id);
-/** Adds a machine that is in no partition yet; the registry owns it. */
+/** Adds a machine that is in no partition yet. Returns the machine, which the registry owns. */
 mv_machine *mv_agents_add(mv_agents *agents, const char *id);
 /** Removes a machine without placements from all lists and frees it. */
 void mv_agents_remove(mv_agents *agents, mv_machine *machine);
--- a/src/coordination/agents/command_list.h
+++ b/src/coordination/agents/command_list.h
@@ -1,20 +1,24 @@
-/** Lists of commands to a worker: GArray of mv_command. */
+/** Lists of commands to an agent: GArray of mv_command. */
 #ifndef MV_COMMAND_LIST_H
 #define MV_COMMAND_LIST_H
 #include "coordination/agents/agents.h"
 
-/** A list without commands; owned by the caller. */
+/** Returns an empty list of commands; the caller unrefs it. */
 GArray *mv_command_list_new(void);
 /**
- * Appends a command on an attempt of a task; only the ids of `task` are read, and copied.
- * `grace_period_s`: time to save a checkpoint before a stop; 0: none, also for all other kinds.
+ * Appends a command for one attempt of a task; copies the job id, task number and attempt of `task`
+ * and reads nothing else of it. `grace_period_s`: seconds to save a checkpoint before a stop; 0: no
+ * checkpoint, and for every other kind of command.
  */
 void mv_command_append(GArray *commands, mv_command_kind kind, const mv_reported_task *task,
                        double grace_period_s);
-/** Appends the launch of a placed task; its id, task number and attempt are copied. */
+/** Appends the launch of a placed task; copies its job id, task number and attempt. */
 void mv_command_append_launch(GArray *commands, const mv_placement *placement);
-/** A task that has checkpoints gets the time to save, unless it has to be gone sooner. */
+/**
+ * Appends the stop of a placed task. A task with checkpoints gets its checkpoint cost as time to
+ * save, unless the placement says to skip the checkpoint.
+ */
 void mv_command_append_stop(GArray *commands, const mv_placement *placement);
-/** The text that names an attempt of a task; owned by the caller. */
+/** Returns the key that identifies an attempt of a task; the caller frees it with g_free. */
 char *mv_attempt_key(const char *job_id, uint32_t task, uint64_t attempt);
 #endif
--- a/src/coordination/agents/heartbeat.c
+++ b/src/coordination/agents/heartbeat.c
@@ -266,8 +266,8 @@
     const mv_placement *placement = g_ptr_array_index(machine->placements, index);
     bool in_flight = placement->launch_sent && machine->command_id;
     if (placement->reported || placement->agent_epoch < agent_epoch) {
-        mv_placement_remove(agents, machine, index,
-                            true); /* the task ended, or its agent epoch did */
+        /* The task is gone: an earlier heartbeat listed it, or its agent epoch has ended. */
+        mv_placement_remove(agents, machine, index, true);
     } else if (!placement->job) {
         /* The job ended before any heartbeat showed the task: the placement stays until no launch
          * of the task can arrive any more. */
--- a/src/coordination/agents/machine.c
+++ b/src/coordination/agents/machine.c
@@ -66,7 +66,7 @@
 
 /* --- schedulable --- */
 
-/* Whether something other than its heartbeats forbids new tasks there. */
+/* Returns whether the machine's state, apart from its heartbeats, forbids new tasks on it. */
 static bool is_withheld(const mv_machine *machine)
 {
     bool leaves_partition = machine->release_pending || machine->evicting ||
--- a/src/coordination/agents/machine.h
+++ b/src/coordination/agents/machine.h
@@ -1,65 +1,95 @@
-/** Questions about a machine, and small changes to it. */
+/** Queries about a machine, and small changes to its state. */
 #ifndef MV_MACHINE_H
 #define MV_MACHINE_H
 #include "coordination/agents/agents.h"
 
-/** The token that fences commands to it: the higher of its shard's and its own term; 0: no shard.
+/**
+ * Returns the fencing token of commands to the machine: the higher of its shard's term and its own
+ * term as a member; 0: the machine is in no shard.
  */
 uint64_t mv_machine_fencing_token(const mv_machine *machine);
-/** Its machine type; NULL: not known. The index that it looks up is a cache within the machine. */
+/**
+ * Returns the machine's type, owned by the catalog; NULL: not known. Caches the type's index in the
+ * machine.
+ */
 const mv_machine_type *mv_machine_type_of(const mv_context *context, const mv_machine *machine);
-/** What a core of it costs by the hour; 0 while its type is not known. */
+/** Returns the price of one core of the machine for an hour; 0 while its type is not known. */
 double mv_machine_price_per_core(const mv_context *context, const mv_machine *machine);
 
-/** Not yet confirmed under our token, and recorded by a predecessor as one it used. */
+/**
+ * Returns whether an earlier owner recorded that the machine may hold tasks and no heartbeat under
+ * the current fencing token has shown yet which tasks these are.
+ */
 bool mv_machine_may_hold_tasks(const mv_machine *machine);
 /**
- * It answers commands, but its heartbeats reach nobody: its lease runs out, whatever it is told.
- * New work there would be lost with it.
+ * Returns whether no heartbeat of the machine has been answered lately, although the machine may
+ * still answer commands. A command does not renew the agent's lease, so the lease expires, and new
+ * tasks on the machine would be lost with it.
  */
 bool mv_machine_controller_unreachable(const mv_context *context, const mv_machine *machine);
 /**
- * Its heartbeats arrive, but nothing of ours reaches it: hearing from a machine is no proof of
- * reaching it. Where that is so of most, it is rather our own link, for a while.
+ * Returns whether commands do not reach the machine although its heartbeats arrive, which can
+ * happen in an asymmetric network partition. If most machines of the shard are in this state, this
+ * controller's own link is the more likely cause, so the timeout is longer.
  */
 bool mv_machine_commands_unreachable(const mv_context *context, const mv_machine *machine);
-/** Something of ours reached it: a command was answered, or a heartbeat shows its effect. */
+/**
+ * Records that a command reached the machine, because the agent answered the command or a heartbeat
+ * shows its effect.
+ */
 void mv_machine_command_delivered(mv_machine *machine);
-/** Whether new tasks may be placed on it. */
+/** Returns whether new tasks may be placed on the machine. */
 bool mv_machine_is_schedulable(const mv_context *context, const mv_machine *machine);
-/** Whether its tasks run notably slower than the same jobs' elsewhere. */
+/**
+ * Returns whether the machine's slowdown against other machines exceeds MV_SLOW_SLOWDOWN.
+ */
 bool mv_machine_is_slow(const mv_machine *machine);
 
-/** Adds what a placement takes, times a factor. */
+/** Adds the placement's resources, multiplied by `factor`. */
 void mv_resources_add_placement(mv_resources *resources, const mv_placement *placement,
                                 double factor);
-/** What is free now; negative where the type is not known. */
+/** Returns the machine's free resources; negative or 0 while the machine's type is not known. */
 mv_resources mv_machine_available(const mv_context *context, const mv_machine *machine);
-/** What is free once all that was told to stop has gone, less what is nominated already. */
+/**
+ * Returns the resources that are free after all stopping placements have ended, without those that
+ * are nominated in this round.
+ */
 mv_resources mv_machine_future_available(const mv_context *context, const mv_machine *machine);
-/** What replicas hold there: it does not become free by itself. */
+/** Returns the resources of the machine's replicas, which do not become free by themselves. */
 mv_resources mv_machine_service_resources(const mv_machine *machine);
-/** How many replicas of all services are there. */
+/** Returns the number of replicas on the machine, of all services. */
 unsigned mv_machine_replica_count(const mv_machine *machine);
-/** Sets resources aside, within a round, for a task of the job for which room is being made. */
+/**
+ * Reserves resources on the machine, until the end of the scheduling round, for one task of a job
+ * for which other tasks are being stopped or moved.
+ */
 void mv_machine_nominate(mv_agents *agents, mv_machine *machine, const mv_job *job);
-/** Nominations hold within one round; those for what is still pending are made again. */
+/**
+ * Clears all nominations, of machines and of teams. Nominations hold within one scheduling round;
+ * the next round nominates again for tasks that are still pending.
+ */
 void mv_machines_clear_nominations(mv_agents *agents);
 
-/** Whether an image is in its cache, as far as is known. */
+/** Returns whether the image is in the machine's cache, as far as this controller knows. */
 bool mv_machine_has_image(const mv_machine *machine, unsigned image);
 /**
- * A task of the job was seen running. Heartbeats do not list cached images: that proves its image,
- * and the least recently used ones go first once the type's image cache is full.
+ * Records the job's image as the most recently used one in the machine's cache, and evicts the
+ * least recently used images while the cache of the machine's type is too small. Call it when a
+ * task of the job was seen running, which proves that the image is cached: heartbeats do not list
+ * images.
  */
 void mv_machine_touch_image(const mv_context *context, mv_machine *machine, const mv_job *job);
 
-/** Asks for a direct command to it, which goes when its turn comes. */
+/** Requests a direct command to the machine and puts the machine into the command queue. */
 void mv_machine_request_command(mv_agents *agents, mv_machine *machine);
-/** The command in flight to it, if any, counts no more. */
+/** Forgets the command in flight to the machine, if any; a later answer to it is ignored. */
 void mv_machine_forget_command(mv_agents *agents, mv_machine *machine);
-/** A task of the job failed there. */
+/** Records that a task of the job failed on the machine; the job's next retry waits for a back-off.
+ */
 void mv_machine_record_failure(const mv_agents *agents, mv_machine *machine, mv_job *job);
-/** A task of the job that completed there ran so long. */
+/**
+ * Updates the machine's slowdown from the run time, in seconds, of a task that completed on it, if
+ * the job has enough completed tasks to compare with.
+ */
 void mv_machine_observe_runtime(mv_machine *machine, const mv_job *job, double runtime_s);
 #endif
--- a/src/coordination/agents/placement.c
+++ b/src/coordination/agents/placement.c
@@ -25,7 +25,8 @@
     placement->service = job->spec.service;
     placement->placed_at = context->clock.now;
     placement->job = job;
-    /* Stopped for others within a second, such a task was placed and stopped without end. */
+    /* The first task of a job that has starved severely is never preempted: without this exemption
+     * the task was preempted within a second, placed again and preempted again without end. */
     placement->preemption_exempt = mv_job_starvation_level(context, job) > 1;
     mv_resources_add_placement(&machine->allocated, placement, 1);
     placement->team->used_cores += placement->cores;
@@ -46,7 +47,7 @@
         mv_resources_add_placement(&machine->releasing, placement, -1);
         placement->team->stopping_cores -= placement->cores;
     }
-    if (machine->placements->len == 1) { /* sums of fractions: start again from none */
+    if (machine->placements->len == 1) { /* the last one: clear the sums' rounding errors */
         machine->allocated = machine->releasing = (mv_resources){0};
         machine->idle_since = context->clock.now;
     }
