--- a/src/coordination/agents/command_queue.c
+++ b/src/coordination/agents/command_queue.c
@@ -198,8 +198,8 @@
     mv_command_arrived(machine);
     for (guint i = 0; i < machine->placements->len; i++) {
         mv_placement *placement = g_ptr_array_index(machine->placements, i);
-        bool may_be_there = placement->reported || placement->launch_unanswered;
-        placement->launch_sent = placement->launch_sent && may_be_there;
+        bool may_be_on_machine = placement->reported || placement->launch_unanswered;
+        placement->launch_sent = placement->launch_sent && may_be_on_machine;
         placement->stop_sent_at = 0;
     }
     machine->probe_requested = true;
--- a/src/coordination/agents/health.c
+++ b/src/coordination/agents/health.c
@@ -5,7 +5,7 @@
 
 /* Values of mv_machine.failed_jobs: whether the job has been seen to succeed on another machine. */
 #define JOB_NOT_PROVEN GUINT_TO_POINTER(0)
-#define JOB_DID_WELL GUINT_TO_POINTER(1)
+#define JOB_SUCCEEDED GUINT_TO_POINTER(1)
 
 /* --- rotation --- */
 
@@ -69,7 +69,7 @@
 
 /* --- failures --- */
 
-static bool job_does_well(const mv_job *job)
+static bool job_has_succeeded(const mv_job *job)
 {
     return job && (job->tasks_done > 0 || (job->spec.service && job->tasks_running > 0));
 }
@@ -85,8 +85,8 @@
     g_hash_table_iter_init(&iter, machine->failed_jobs);
     while (g_hash_table_iter_next(&iter, &id, &known)) {
         const mv_job *job = mv_job_table_find(agents->jobs, id);
-        if (job_does_well(job)) {
-            g_hash_table_iter_replace(&iter, JOB_DID_WELL);
+        if (job_has_succeeded(job)) {
+            g_hash_table_iter_replace(&iter, JOB_SUCCEEDED);
             proven++;
         } else if (known != JOB_NOT_PROVEN) {
             proven++;
@@ -153,7 +153,7 @@
 
 /* Requests a probe of a machine whose heartbeat is overdue. A heartbeat may be lost, and the agent
  * may send the retry to another controller first, so a machine is probed before it is failed. */
-static void probe_quiet(mv_agents *agents, mv_machine *machine, const heartbeat_gap *gap)
+static void probe_overdue(mv_agents *agents, mv_machine *machine, const heartbeat_gap *gap)
 {
     if (should_contact(agents->context, machine))
         mv_machine_request_command(agents, machine);
@@ -169,7 +169,7 @@
  * before the failover wait until the last machine has answered or is failed: 100 dead machines once
  * delayed a failover by 20 s. A machine that has given a sign of life since this controller began
  * to listen gets one more probe. */
-static bool has_no_trace(const mv_machine *machine, const heartbeat_gap *gap)
+static bool unconfirmed_probes_failed(const mv_machine *machine, const heartbeat_gap *gap)
 {
     unsigned extra_probes = machine->last_sign_at > gap->since ? 1 : 0;
     return !machine->confirmed && machine->probes_failed >= MV_PROBES_FAILED_MAX + extra_probes;
@@ -180,9 +180,9 @@
     if (!gap->expected || mv_clock_is_overloaded(&context->clock))
         return false;
     bool no_answer = machine->probes_failed > MV_PROBES_FAILED_MAX || !machine->address[0];
-    double anyway_s = MV_FAILED_ANYWAY_HEARTBEATS * context->settings->report_s;
-    return (no_answer && gap->gap_s > gap->failed_after_s) || has_no_trace(machine, gap) ||
-           gap->gap_s > anyway_s;
+    double final_timeout_s = MV_FAILED_ANYWAY_HEARTBEATS * context->settings->report_s;
+    return (no_answer && gap->gap_s > gap->failed_after_s) ||
+           unconfirmed_probes_failed(machine, gap) || gap->gap_s > final_timeout_s;
 }
 
 /* Updates whether the machine is failed. The tasks of a failed machine stay placed until no
@@ -226,7 +226,7 @@
 {
     quarantine_after_failures(agents, machine);
     heartbeat_gap gap = measure_gap(agents->context, machine);
-    probe_quiet(agents, machine, &gap);
+    probe_overdue(agents, machine, &gap);
     update_failed(agents, machine, &gap);
     stop_before_reclaim(agents, machine);
 }
--- a/src/coordination/agents/heartbeat.c
+++ b/src/coordination/agents/heartbeat.c
@@ -95,8 +95,8 @@
                            const mv_placement *placement, mv_exit_reason reason)
 {
     const mv_context *context = agents->context;
-    double lived_until = placement->running_at + MV_REPLICA_LIFETIME_MIN_S;
-    bool lasted = placement->running_at > 0 && context->clock.now > lived_until;
+    double min_lifetime_end = placement->running_at + MV_REPLICA_LIFETIME_MIN_S;
+    bool lasted = placement->running_at > 0 && context->clock.now > min_lifetime_end;
     if (lasted)
         job->failures = 0;
     if (reason == MV_EXIT_ERROR)
@@ -357,7 +357,7 @@
 /* Starts the machine's idle time at its first heartbeat under the current fencing token. When the
  * boot counted as idle time, a machine that booted slowly was returned to the cloud seconds after
  * the boot. */
-static void begin_service(mv_context *context, mv_machine *machine, size_t task_count)
+static void start_idle_time(mv_context *context, mv_machine *machine, size_t task_count)
 {
     machine->idle_since = context->clock.now;
     context->round_requested = true;
@@ -382,7 +382,7 @@
     reconcile_reported_tasks(agents, machine, heartbeat, commands);
     reconcile_missing_tasks(agents, machine, heartbeat, commands);
     if (newly_confirmed)
-        begin_service(context, machine, heartbeat->task_count);
+        start_idle_time(context, machine, heartbeat->task_count);
 }
 
 bool mv_machine_cancelled_task_may_launch(const mv_context *context, const mv_machine *machine)
