--- a/src/coordination/agents/command_queue.c
+++ b/src/coordination/agents/command_queue.c
@@ -135,7 +135,7 @@
     GPtrArray *queue = agents->command_queue;
     guint remaining = 0;
     if (window_is_full(agents))
-        return; /* this function runs at every event: skip the scan of the queue */
+        return; /* every event calls this function, so a full window skips the scan */
     for (guint i = 0; i < queue->len; i++) {
         mv_machine *machine = g_ptr_array_index(queue, i);
         if (!window_is_full(agents) && flush_machine_command(agents, machine))
--- a/src/coordination/agents/heartbeat.c
+++ b/src/coordination/agents/heartbeat.c
@@ -227,13 +227,16 @@
 {
     const mv_context *context = agents->context;
     mv_placement *placement = match_active_task(agents, machine, job, task);
-    if (!placement) { /* its job ended, another attempt is placed, or the task is done */
+    /* The task must stop if its job has ended, if another attempt of it is placed, or if it is done
+     * already. */
+    if (!placement) {
         machine->unknown_tasks++;
         mv_command_append(commands, MV_COMMAND_STOP, task, 0);
         return;
     }
     mark_reported(machine, placement);
-    if (!job) { /* the job was cancelled or ended */
+    /* The placement outlived its job, for example because the job was cancelled. */
+    if (!job) {
         if (!SAFETY_CHECK(CANCELLED, false))
             mv_command_append(commands, MV_COMMAND_STOP, task, 0);
         return;
@@ -274,7 +277,9 @@
         if (!in_flight && !placement->launch_unanswered)
             mv_placement_remove(agents, machine, index, false);
     } else if (!in_flight && mv_launch_allowed(agents->launch_control, placement->job)) {
-        mv_command_append_launch(commands, placement); /* idempotent: the same attempt */
+        /* No heartbeat has listed the task, so its launch is sent, perhaps for the second time: a
+         * repeated launch of the same attempt is idempotent. */
+        mv_command_append_launch(commands, placement);
     }
 }
 
@@ -287,7 +292,7 @@
             reconcile_missing_task(agents, machine, i, heartbeat->agent_epoch, commands);
 }
 
-/* --- a heartbeat --- */
+/* --- one heartbeat --- */
 
 /* Handles a newer heartbeat under an older fencing token. The response gives the agent the current
  * token, and the agent at once sends another heartbeat, which lists its tasks under that token. So
--- a/src/coordination/agents/placement.c
+++ b/src/coordination/agents/placement.c
@@ -17,7 +17,7 @@
     const mv_context *context = agents->context;
     g_strlcpy(placement->job_id, job->spec.id, sizeof placement->job_id);
     placement->agent_epoch =
-        machine->agent_epoch; // NOLINT(clang-analyzer-core.NullDereference): every caller has one
+        machine->agent_epoch; // NOLINT(clang-analyzer-core.NullDereference): no caller passes NULL
     placement->team = job->team;
     placement->cores = job->spec.cores;
     placement->gpus = job->spec.gpus;
@@ -47,7 +47,9 @@
         mv_resources_add_placement(&machine->releasing, placement, -1);
         placement->team->stopping_cores -= placement->cores;
     }
-    if (machine->placements->len == 1) { /* the last one: clear the sums' rounding errors */
+    /* When the last placement ends, the sums are set to 0, because adding and subtracting fractions
+     * leaves rounding errors. */
+    if (machine->placements->len == 1) {
         machine->allocated = machine->releasing = (mv_resources){0};
         machine->idle_since = context->clock.now;
     }
