--- a/src/coordination/agents/machine.h
+++ b/src/coordination/agents/machine.h
@@ -40,8 +40,7 @@
 void mv_machine_command_delivered(mv_machine *machine);
 /** Returns whether new tasks may be placed on the machine. */
 bool mv_machine_is_schedulable(const mv_context *context, const mv_machine *machine);
-/**
- * Returns whether the machine's slowdown against other machines exceeds MV_SLOW_SLOWDOWN.
+/** Returns whether tasks run notably slower on the machine than tasks of the same jobs elsewhere.
  */
 bool mv_machine_is_slow(const mv_machine *machine);
 
@@ -60,8 +59,8 @@
 /** Returns the number of replicas on the machine, of all services. */
 unsigned mv_machine_replica_count(const mv_machine *machine);
 /**
- * Reserves resources on the machine, until the end of the scheduling round, for one task of a job
- * for which other tasks are being stopped or moved.
+ * Reserves resources on the machine, within the scheduling round, for one task of the job for which
+ * room is being made on the machine.
  */
 void mv_machine_nominate(mv_agents *agents, mv_machine *machine, const mv_job *job);
 /**
--- a/src/coordination/agents/machine_lifecycle.h
+++ b/src/coordination/agents/machine_lifecycle.h
@@ -4,8 +4,8 @@
 #include "coordination/agents/agents.h"
 
 /**
- * Forgets what was learned under an earlier term about the machine's tasks and commands, without
- * requeueing the tasks. The cached images and the slowdown stay valid and are kept.
+ * Clears what was recorded of the machine's tasks and commands under an earlier term, and does not
+ * requeue the tasks. The cached images and the slowdown stay valid and are kept.
  */
 void mv_machine_reset(mv_agents *agents, mv_machine *machine);
 /**
