--- a/src/constants.h
+++ b/src/constants.h
@@ -1,129 +1,183 @@
 /**
- * Every constant of the service, by module, with its unit and its reason.
+ * The constants of the service, grouped by module.
  *
- * Units are in the names: _S seconds, _MS milliseconds, _US microseconds, _BYTES, _KB, _GB; _SIZE
- * is the bytes of a text with its final 0, _HEARTBEATS and _INTERVALS are multiples of the
- * heartbeat interval, _SHARE and _FACTOR have none. A comment that begins or ends with "..." goes
- * on with its neighbour.
+ * Units are in the names: _S seconds, _MS milliseconds, _US microseconds, _BYTES, _KB, _GB. _SIZE
+ * is the size of a text in bytes, including the final 0. _HEARTBEATS and _INTERVALS count heartbeat
+ * intervals. _SHARE and _FACTOR have no unit.
  */
 #ifndef MV_CONSTANTS_H
 #define MV_CONSTANTS_H
 
-/* --- Protocol: limits of the protocol page --- */
+/* --- Protocol: limits that the protocol page sets --- */
 
-/** Bytes of a request body, and of a response to agents and users. */
+/** Largest body, in bytes, of a request and of a response to agents and users. */
 #define MV_BODY_BYTES_MAX 65536
-/** Tasks of a job. */
+/** Largest number of tasks in a job. */
 #define MV_JOB_TASKS_MAX 100000
-/** Bytes of a key in the state service, with the final 0. */
+/** Size of a key in the state service, in bytes with the final 0. */
 #define MV_KEY_SIZE 201
-/** Commands in one response to a heartbeat; 64 KiB hold about 700. */
+/** Most commands in one response to a heartbeat; a body of 64 KiB holds about 700 commands. */
 #define MV_RESPONSE_COMMANDS_MAX 400
-/** Tasks on a machine: its heartbeat, exited tasks included, must fit into 64 KiB. */
+/**
+ * The scheduler places at most this many tasks on a machine, because the machine's heartbeat, which
+ * also lists exited tasks, must fit into 64 KiB.
+ */
 #define MV_MACHINE_TASKS_MAX 300
-/** Machines in one request to scale out. */
+/** Most machines in one scale-out request to the cloud. */
 #define MV_INSTANCE_REQUEST_MAX 50
-/** Machines in one request to scale in. */
+/** Most machines in one scale-in request to the cloud. */
 #define MV_SCALE_IN_BATCH 100
-/** Machines on a page of the cloud's list. */
+/** Machines on one page of the cloud's machine list. */
 #define MV_MACHINE_LIST_PAGE 500
-/** Records on a page of the state service's list. */
+/** Records on one page of a list from the state service. */
 #define MV_STATE_STORE_PAGE 1000
-/** Bytes of writes in a transaction: 64 KiB less the framing. */
+/** Most bytes of writes in a transaction: 64 KiB less the framing. */
 #define MV_TRANSACTION_BYTES_MAX 60000
-/** Share by which a monotonic clock may run fast. */
+/**
+ * Share by which the monotonic clock of one process may run faster than that of another process.
+ */
 #define MV_CLOCK_DRIFT 0.0005
 
 /* --- Protocol: sizes of texts, in bytes with the final 0 --- */
 
-/** Job ids; node names on the wire are shorter. */
+/** Size of a job id; node names in messages are shorter. */
 #define MV_ID_SIZE 32
-/** Names of teams, machine types, zones, images and machines. */
+/** Size of a name of a team, machine type, zone, image or machine. */
 #define MV_NAME_SIZE 96
-/** Numeric address and port of a machine, as "10.0.0.1:8080". */
+/** Size of the numeric address and port of a machine, for example "10.0.0.1:8080". */
 #define MV_ADDRESS_SIZE 64
 
 /* --- Protocol: records in the state service --- */
 
 /**
- * Format of our records and peer messages. Format 1 had no services, and did not say its number.
+ * Format of the records and peer messages that this version writes. Format 1 had no services, and
+ * its records did not contain the format number.
  */
 #define MV_FORMAT_CURRENT 2
-/** Machine types that the service distinguishes: they are bits of a set. */
+/** Most machine types that the service distinguishes: each type is one bit of a 32-bit mask. */
 #define MV_MACHINE_TYPES_MAX 32
-/** Shard numbers that records may carry are below this. */
+/** Shard numbers in records are below this value. */
 #define MV_SHARDS_MAX 100
-/** Segment numbers of a partition are below this. */
+/** Segment numbers of a partition are below this value. */
 #define MV_SEGMENTS_MAX 10000
-/** Machines in one segment of a partition: those of one request to scale out. */
+/** Most machines in one segment of a partition: as many as one scale-out request can add. */
 #define MV_SEGMENT_MACHINES_MAX 50
-/** Bytes of a value that are left free for the frame of what is listed in it. */
+/**
+ * Bytes of a partition or occupancy record that stay free for the framing around the listed
+ * machines.
+ */
 #define MV_VALUE_HEADROOM_BYTES 64
-/** Bytes of a value: under a lower limit nothing of ours would fit. */
+/**
+ * A controller never reduces its limit for the bytes of a value below this, because the records of
+ * the service would not fit a smaller value.
+ */
 #define MV_VALUE_BYTES_MIN 1024
-/** Bytes of the record of a shard's owner, without its teams. */
+/** Bytes of a shard's record without the names of the teams that the shard serves. */
 #define MV_SHARD_RECORD_BYTES 260
-/** Writes of a transaction: under a lower limit no job could end. */
+/** Smallest limit for the writes of a transaction: with a lower limit no job could be completed. */
 #define MV_TRANSACTION_WRITES_MIN 4
-/** Tasks in one completion record: 4 KiB of hex digits. */
+/** Most tasks in one completion record: the record has 4 KiB of hex digits. */
 #define MV_CHUNK_TASKS_MAX 16384
-/** Tasks in one completion record where the larger one does not fit a value: 512 bytes. */
+/**
+ * Tasks in one completion record (512 bytes of hex digits) if a record of the larger size does not
+ * fit a value of the state service.
+ */
 #define MV_CHUNK_TASKS_SMALL 2048
-/** Term of the first leader that a state service ever sees. */
+/** Term of the first leader that is ever elected on a state service. */
 #define MV_TERM_INITIAL 1u
 /** Low bits of an attempt number, which count the placements within one term. */
 #define MV_ATTEMPT_BITS 24
 
 /* --- Membership: lease sessions, leases of shards --- */
 
-/** A controller that does not renew its session is replaced after this: three lost renewals. */
+/**
+ * The state service ends the session of a controller that does not renew it for this long, and the
+ * controller is replaced. Three lost renewals take this long.
+ */
 #define MV_SESSION_TTL_S 2.5
-/** Between renewals: a third of the TTL, less one slow response. */
+/**
+ * A controller waits this long between renewals of its session: a third of the session's TTL, less
+ * the time of one slow response.
+ */
 #define MV_SESSION_RENEW_S 0.7
-/** After a renewal or a watch that failed. */
+/**
+ * A controller waits this long before it repeats a failed renewal of its session or a failed watch.
+ */
 #define MV_SESSION_RETRY_S 0.3
-/** Taken off the session's TTL as this controller counts it, for clock drift and rounding. */
+/**
+ * A controller considers its session expired this long before the TTL ends, which covers clock
+ * drift and rounding.
+ */
 #define MV_SESSION_MARGIN_S 0.3
-/** Lease of a shard (DESIGN page); shortened when cancel_s asks for it. */
+/**
+ * Default lease of a shard (see the DESIGN page). The lease is shortened if cancel_s requires it.
+ */
 #define MV_SHARD_LEASE_S 30.0
-/** From the expiry of an agent's lease until its tasks are gone. */
+/** Longest time from the expiry of an agent's lease until the agent's tasks are gone. */
 #define MV_AGENT_KILL_S 2.0
-/** Left free below cancel_s - lease_s for stop commands to arrive. */
+/**
+ * A shard's lease ends at least this long before cancel_s - lease_s, so that stop commands arrive
+ * in time.
+ */
 #define MV_CANCEL_MARGIN_S 5.0
-/** Shards of the fleet; 0: as its size asks. */
+/**
+ * Default number of shards of the fleet; with 0 the leader derives the number from the fleet's
+ * size.
+ */
 #define MV_SHARDS_DEFAULT 0
-/** A fleet of this size has a shard for each controller. */
+/**
+ * From this number of machines on, the leader creates one shard for each controller; a smaller
+ * fleet has a single shard.
+ */
 #define MV_SHARD_PER_CONTROLLER_MACHINES 100
-/** The first leader waits so long for the cloud's first list. */
+/**
+ * A new leader waits at most this long for the cloud's first complete machine list before it
+ * creates shards without knowing the fleet's size.
+ */
 #define MV_FIRST_LIST_TIMEOUT_S 3.0
-/** The first leader of all adopts listed machines without delay for so long. */
+/**
+ * For this long after its election, the leader of the first term adopts machines without probing
+ * them: no older controller can have given them tasks.
+ */
 #define MV_INITIAL_ADOPTION_S 5.0
-/** A new owner of a shard gets this long to reach its machines before it resigns the shard. */
+/**
+ * A new owner of a shard has this long to reach the shard's machines before it may resign the
+ * shard.
+ */
 #define MV_RESIGN_AFTER_S 8.0
-/** After it resigned a shard, a controller gets no other for so long. */
+/** The leader grants no shard to a controller for this long after the controller resigned one. */
 #define MV_RESIGNED_BACKOFF_S 60.0
-/** Between moves of shards to controllers that came back. */
+/** The leader waits this long between two moves of shards to controllers that have come back. */
 #define MV_REBALANCE_INTERVAL_S 10.0
 
 /* --- Membership: partitions and occupancy records --- */
 
-/** Segments of a partition in one transaction; 64 KiB hold nine. */
+/** Most segments of a partition that one transaction writes; 64 KiB hold nine segments. */
 #define MV_SEGMENTS_BATCH 7u
-/** Segments whose occupancy is recorded at once. */
+/** Most segments whose occupancy the shard's owner records in one transaction. */
 #define MV_OCCUPANCY_BATCH 4
-/** Between such records where a partition has more segments. */
+/**
+ * If a partition has more segments than one transaction records, the shard's owner waits this long
+ * between two occupancy transactions, so that several machines share a write.
+ */
 #define MV_OCCUPANCY_INTERVAL_S 1.0
 
 /* --- Membership: state cache --- */
 
 /**
- * A cache without an answered watch for so long is out of date: a watch lasts 3 s, to which come
- * its timeout and an interval.
+ * The state cache is out of date if no watch was answered for this long: a watch lasts 3 s, and its
+ * timeout and the interval between watches are added.
  */
 #define MV_CACHE_LOST_AFTER_S 5.5
-/** After a transaction's response, for the cache to show it: the longest interval of watches. */
+/**
+ * After the response to a transaction, a controller waits this long for the state cache to show the
+ * result: the cache lags by at most the longest interval between watches.
+ */
 #define MV_CACHE_LAG_S 0.4
-/** A controller that is without the records for this long serves what it can. */
+/**
+ * A controller that has not read the records of the state service this long after its start opens
+ * its HTTP port nevertheless, and serves the requests that it can.
+ */
 #define MV_LISTEN_DELAY_MAX_S 5.0
 
 /* --- Connectivity: link health --- */
