--- a/src/constants.h
+++ b/src/constants.h
@@ -183,459 +183,743 @@
 /* --- Connectivity: link health --- */
 
 /**
- * Failed requests of a peer that never had a response from the state service before it counts as a
- * witness of its failure.
+ * Failed requests from which on a peer that never had a response from the state service counts as a
+ * witness that the state service has failed.
  */
 #define MV_WITNESS_FAILURES_MIN 2u
 /**
- * A peer whose last response from the state service is older gets none: a renewal and its timeout.
+ * A peer whose last response from the state service is older than this has lost the state service:
+ * a renewal of the peer's session and the timeout of that renewal take this long.
  */
 #define MV_WITNESS_UNANSWERED_S 1.4
-/** A controller that has been suspected to be isolated for so long launches nothing. */
+/**
+ * A controller stops launching tasks after the state service has been unreachable for this long and
+ * the controller suspects that it is isolated.
+ */
 #define MV_SUSPECT_GRACE_S 0.6
-/** Peers have this long to say whether they reach the state service. */
+/**
+ * A controller that lost the state service waits this long for its peers to report whether they
+ * reach the state service.
+ */
 #define MV_WITNESS_REPORT_TIMEOUT_S 1.5
-/** Between link reports to a peer: as often as sessions are renewed. */
+/** A controller sends each peer a link report this often: as often as it renews its session. */
 #define MV_LINK_REPORT_INTERVAL_S 0.7
-/** Between link reports while the state service does not respond. */
+/**
+ * A controller sends each peer a link report this often while the state service does not respond.
+ */
 #define MV_LINK_REPORT_FAST_INTERVAL_S 0.25
-/** Older link reports of peers do not count; three are sent in this time. */
+/**
+ * A controller ignores link reports of peers that are older than this; a peer sends three in this
+ * time.
+ */
 #define MV_LINK_REPORT_TTL_S 2.0
-/** Send times of our own link reports that are remembered: 2 s of them, to 30 peers at once. */
+/**
+ * A controller remembers the send times of this many of its own link reports: those of 2 s, sent to
+ * 30 peers at once.
+ */
 #define MV_LINK_REPORTS_REMEMBERED 256u
 /** A peer has this long to respond to a link report. */
 #define MV_LINK_REPORT_TIMEOUT_MS 600
 /**
- * The state service responded to a peer so much later than to us that the fault is ours: two
- * renewals and their timeouts.
+ * If the state service responded to a peer this much later than to this controller, this controller
+ * is isolated: in an outage for all controllers the last responses are at most two renewals and
+ * their timeouts apart.
  */
 #define MV_WITNESS_GAP_S 1.5
-/** The link to a peer is down after so long without a response, ... */
+/**
+ * The link to a peer is down if the peer has sent no response for this long and
+ * MV_PEER_LINK_FAILURES requests to the peer failed.
+ */
 #define MV_PEER_LINK_TIMEOUT_S 3.0
-/** ... if it also left so many requests unanswered. */
+/**
+ * The link to a peer is down if this many requests in a row failed and the peer has sent no
+ * response for MV_PEER_LINK_TIMEOUT_S.
+ */
 #define MV_PEER_LINK_FAILURES 3u
-/** An owner that has been isolated for so long steps aside and loses its shards. */
+/**
+ * The owner of a shard steps aside, and loses its shards, after it has been isolated for this long.
+ */
 #define MV_STEP_ASIDE_AFTER_S 1.0
 
 /* --- Connectivity: launch gate and hold-down --- */
 
-/** Links have to be stable for this long after a failure; doubled with each one, ... */
+/**
+ * After a first link failure, the links must be stable for this long before a controller launches
+ * tasks again. The time doubles with each further failure, up to MV_HOLD_DOWN_MAX_S.
+ */
 #define MV_HOLD_DOWN_INITIAL_S 0.5
-/** ... up to this: a failover costs as much. */
+/**
+ * Longest time for which the links must be stable after a failure before a controller launches
+ * tasks again; a failover takes as long.
+ */
 #define MV_HOLD_DOWN_MAX_S 8.0
-/** After so long without a failure the hold-down is the initial one again. */
+/** If the links had no failure for this long, the hold-down is MV_HOLD_DOWN_INITIAL_S again. */
 #define MV_HOLD_DOWN_RESET_S 60.0
 
 /* --- Connectivity: unrecorded completions --- */
 
-/** Bytes of memory for each job that has any. */
+/**
+ * Bytes of memory that each job with unrecorded completions takes, in addition to its bitmap of
+ * tasks.
+ */
 #define MV_COMPLETIONS_JOB_BYTES 128
-/** Bytes of memory for all of them; 100,000 tasks of a job take 16 KB. */
+/**
+ * Most bytes of memory for the unrecorded completions of all jobs; 100,000 tasks of one job take 16
+ * KB.
+ */
 #define MV_COMPLETIONS_BYTES_MAX (1024 * 1024)
-/** Bytes of them in one link report. */
+/** Most bytes of unrecorded completions in one link report. */
 #define MV_COMPLETIONS_PUBLISHED_BYTES_MAX (64 * 1024)
 
 /* --- Controller --- */
 
-/** How often the controller gets the time. */
+/** The server passes the time to the controller this often. */
 #define MV_TICK_S 0.1
 /**
- * A tick that is late by this shows that our own processor is overloaded: then missing heartbeats
- * do not count ...
+ * A tick that comes this late shows that this controller's processor is overloaded. For a while
+ * afterwards, missing heartbeats prove nothing, because responses may lie unread.
  */
 #define MV_TICK_LATE_S 0.5
-/** ... for this many times the delay, ... */
+/**
+ * After a late tick a controller counts as overloaded for this many times the gap between the two
+ * ticks, but no longer than MV_OVERLOAD_MAX_S.
+ */
 #define MV_OVERLOAD_FACTOR 4.0
-/** ... but no longer than this. */
+/** A controller counts as overloaded for at most this long after a late tick. */
 #define MV_OVERLOAD_MAX_S 10.0
-/** A transaction without a result for so long is given up; every one gets a result in the end. */
+/**
+ * A controller gives up a transaction that has had no result for this long. This is a safeguard:
+ * the server reports a result for every transaction.
+ */
 #define MV_TRANSACTION_LOST_S 60.0
-/** Before a transaction that was too large is made again, smaller. */
+/**
+ * After the state service rejected a transaction as too large, a controller waits this long before
+ * it makes a smaller one.
+ */
 #define MV_TRANSACTION_RETRY_S 3.0
 
 /* --- Agents: heartbeats and health --- */
 
-/** In so many ticks every machine is checked once. */
+/** A controller checks every machine once in this many ticks. */
 #define MV_HEALTH_CHECK_TICKS 4
-/** Machines that are checked in one tick at least. */
+/**
+ * A controller checks at least this many machines in each tick. A shard or fleet of at most this
+ * many machines counts as small, so that work for each machine need not be spread over time.
+ */
 #define MV_HEALTH_CHECK_MIN 64u
-/** Heartbeat intervals without a heartbeat after which nothing more is placed on a machine. */
+/**
+ * The scheduler places nothing on a machine that has sent no heartbeat for this many heartbeat
+ * intervals.
+ */
 #define MV_SCHEDULABLE_HEARTBEATS 2.0
 /**
- * Heartbeat intervals after which it is probed directly; heartbeats come 0.75 to 1.25 intervals
- * apart.
+ * A shard's owner probes a machine that has sent no heartbeat for this many heartbeat intervals.
+ * Heartbeats come 0.75 to 1.25 intervals apart.
  */
 #define MV_PROBE_HEARTBEATS 1.05
-/** A machine of a large fleet has this long to send a heartbeat by itself before it is probed. */
+/**
+ * After a failover, the new owner of a large shard gives each machine this long to send a heartbeat
+ * before it probes the machine: probes cost more than heartbeats.
+ */
 #define MV_PROBE_GRACE_S 1.0
-/** The pause before the next probe grows by this with each one that is unanswered. */
+/**
+ * The pause before the next probe of a machine grows by this with each unanswered command or probe.
+ */
 #define MV_PROBE_BACKOFF_S 0.2
 /**
- * Direct commands without a response from which on a machine does not respond; failed takes one
+ * A machine is unresponsive from this many unanswered direct commands on, and failed after one
  * more.
  */
 #define MV_PROBES_FAILED_MAX 2u
-/** Heartbeat intervals after which it is failed if it left three probes unanswered. */
+/**
+ * A machine has failed if it has sent no heartbeat for this many heartbeat intervals and left three
+ * probes unanswered.
+ */
 #define MV_FAILED_HEARTBEATS 1.2
-/** Heartbeat intervals after which it is failed even if no heartbeat of any machine arrives. */
+/**
+ * A machine has failed if it has sent no heartbeat for this many heartbeat intervals, even if no
+ * heartbeat of any other machine arrives.
+ */
 #define MV_FAILED_ANYWAY_HEARTBEATS 12.0
-/** A machine with replicas of services is probed after this long without a heartbeat, ... */
+/**
+ * A shard's owner probes a machine with replicas of services that has sent no heartbeat for this
+ * long, so that a lost replica is noticed before the next heartbeat is due.
+ */
 #define MV_REPLICA_PROBE_AFTER_S 1.5
-/** ... and is failed after this, if it left three probes unanswered. */
+/**
+ * A machine with replicas of services has failed if it has sent no heartbeat for this long and left
+ * three probes unanswered.
+ */
 #define MV_REPLICA_FAILED_AFTER_S 4.0
 /**
- * Heartbeat intervals without any heartbeat after which it is rather the controller that is
- * isolated.
+ * If no agent has sent a heartbeat for this many heartbeat intervals, this controller is more
+ * likely isolated than all machines are lost.
  */
 #define MV_HEARTBEAT_TIMEOUT_INTERVALS 2.5
-/** A shard of so many machines ... */
+/**
+ * A shard with at least this many machines is large: one without any heartbeat for
+ * MV_LARGE_SHARD_TIMEOUT_INTERVALS shows that its owner is isolated.
+ */
 #define MV_LARGE_SHARD_MACHINES 20u
-/** ... should have had a heartbeat within so many intervals. */
+/**
+ * The owner of a large shard should have received a heartbeat of some machine within this many
+ * heartbeat intervals.
+ */
 #define MV_LARGE_SHARD_TIMEOUT_INTERVALS 1.0
-/** So many commands without a response, while heartbeats come, ... */
+/**
+ * A machine is unreachable for commands if it sends heartbeats but left at least this many commands
+ * unanswered, for MV_UNREACHABLE_HEARTBEATS heartbeat intervals.
+ */
 #define MV_UNREACHABLE_COMMANDS 3u
-/** ... and for so many heartbeat intervals, make a machine unreachable for commands. */
+/**
+ * A machine that sends heartbeats is unreachable for commands only after its commands have been
+ * unanswered for this many heartbeat intervals.
+ */
 #define MV_UNREACHABLE_HEARTBEATS 3.0
 /**
- * Where most machines are unreachable for commands it rather is our own link that loses them (an
- * asymmetric partition), and none is given up before so many heartbeat intervals.
+ * If most machines of a shard leave commands unanswered, the link of this controller probably loses
+ * the commands (an asymmetric partition). No machine of the shard is then given up as unreachable
+ * before this many heartbeat intervals.
  */
 #define MV_PARTITIONED_HEARTBEATS 10.0
-/** Machines of no partition that are probed at once, ... */
+/** The leader probes at most this many machines that are in no partition at the same time. */
 #define MV_UNKNOWN_PROBES_MAX 400u
-/** ... and again after this long. */
+/**
+ * A probe of a machine that is in no partition expires after this long; the leader then probes the
+ * machine again at its next heartbeat.
+ */
 #define MV_UNKNOWN_PROBE_TTL_S 4.0
 
 /* --- Agents: stragglers --- */
 
-/** Completed tasks of a job that make its runtime a measure for machines. */
+/**
+ * A controller measures the slowdown of machines by a job's mean runtime after this many tasks of
+ * the job are done.
+ */
 #define MV_SLOWDOWN_SAMPLES_MIN 3
-/** Weight of the latest task in a machine's slowdown. */
+/** Weight of the latest task in the smoothed slowdown of a machine. */
 #define MV_SLOWDOWN_SMOOTHING 0.3
-/** Share of a slowdown that is forgotten in a second: half in about 30 s. */
+/** Share of a machine's slowdown that is forgotten in a second; half is forgotten in about 30 s. */
 #define MV_SLOWDOWN_DECAY_PER_S 0.025
-/** A machine that takes so many times as long as others for the same job is used last. */
+/**
+ * The scheduler uses a machine last if the machine takes more than this many times the usual
+ * runtime of a job.
+ */
 #define MV_SLOW_SLOWDOWN 1.5
-/** From this slowdown on a machine is drained and scaled in. */
+/** A machine with this slowdown or more is drained and scaled in. */
 #define MV_STRAGGLER_SLOWDOWN 4.0
-/** A machine on which tasks of so many jobs failed is quarantined and drained. */
+/** A machine on which tasks of this many jobs failed is quarantined and drained. */
 #define MV_QUARANTINE_FAILED_JOBS 2
 
 /* --- Agents: commands --- */
 
-/** Commands in flight or waiting for a thread: later ones carry more. */
+/**
+ * Most direct commands that are in flight or wait for a thread. While the limit is reached, new
+ * commands for a machine are gathered into one later request.
+ */
 #define MV_COMMANDS_IN_FLIGHT_MAX 110u
-/** Ticks this far apart show that our processor is short; the command window then ... */
+/**
+ * If two ticks are further apart than this, the processor is overloaded, and the controller reduces
+ * its window of commands in flight.
+ */
 #define MV_TICK_OVERLOADED_S 0.15
-/** ... shrinks to this share of its size, ... */
+/** With each late tick, the window of commands in flight shrinks to this share of its size. */
 #define MV_COMMAND_WINDOW_DECREASE 0.5
-/** ... never below this, ... */
+/** The window of commands in flight never shrinks below this many commands. */
 #define MV_COMMAND_WINDOW_MIN 4u
-/** ... and grows by this with each tick in time. */
+/** With each tick in time, the window of commands in flight grows by this many commands. */
 #define MV_COMMAND_WINDOW_INCREASE 1.0
-/** A command that waited longer for a thread expires and is made again. */
+/**
+ * A command that waited for a thread longer than this expires, and the controller makes a new one.
+ */
 #define MV_COMMAND_TTL_S 4.0
-/** A launch of a task whose job was cancelled has this long until it is reconciled. */
+/**
+ * If the launch of a task whose job was cancelled may still arrive, the shard's owner answers the
+ * machine's heartbeats for this long, so that the launch can be reconciled. After that, the owner
+ * rejects the heartbeats.
+ */
 #define MV_CANCELLED_LAUNCH_GRACE_S 3.0
-/** Exited tasks of a machine that are cleared together, ... */
+/**
+ * In a large shard, the owner clears the exited tasks of a machine together when there are this
+ * many, because each clear command costs a heartbeat.
+ */
 #define MV_CLEAR_BATCH 8u
-/** ... or else so long after the last time; each time costs a heartbeat. */
+/**
+ * In a large shard, the owner clears fewer than MV_CLEAR_BATCH exited tasks of a machine only this
+ * long after the last time.
+ */
 #define MV_CLEAR_INTERVAL_S 8.0
-/** No new launch on a machine after it refused one, for our state of it is out of date. */
+/**
+ * A controller launches nothing more on a machine for this long after the machine refused a launch:
+ * the controller's state of the machine is out of date.
+ */
 #define MV_LAUNCH_REFUSED_BACKOFF_S 2.0
-/** Tasks with checkpoints are stopped this long before the cloud reclaims their machine. */
+/**
+ * Before the cloud reclaims a machine, the machine's tasks with checkpoints are stopped early
+ * enough to save a checkpoint with this much time to spare.
+ */
 #define MV_RECLAIM_HEADROOM_S 6.0
-/** Launches without a response for so long are fenced off by a new term. */
+/**
+ * If a launch has had no response for this long, the leader fences the launch off with a new term.
+ */
 #define MV_FENCE_AFTER_S 10.0
 
 /* --- Jobs --- */
 
-/** Tasks over which the ratio of runtime and its estimate is smoothed. */
+/** The ratio of actual to estimated runtime is smoothed over this many tasks. */
 #define MV_ESTIMATOR_WINDOW 30u
-/** First pause after a task failed; doubles with each failure. */
+/**
+ * After the n-th failure of its tasks, a job pauses for this long times 2 to the power of n, but no
+ * longer than MV_RETRY_MAX_S.
+ */
 #define MV_RETRY_BASE_S 1.0
-/** Longest such pause: a job that fails everywhere costs little. */
+/** Longest pause of a job after a failure, so that a job that fails everywhere costs little. */
 #define MV_RETRY_MAX_S 30.0
-/** Completion records of a job are written at most this often. */
+/** A controller writes the completion records of a job at most this often. */
 #define MV_FLUSH_INTERVAL_S 0.7
-/** Completion records in one transaction: leaves writes for others. */
+/**
+ * Most completion records in one transaction, so that part of the write rate stays free for other
+ * writes.
+ */
 #define MV_FLUSH_BATCH 8
-/** Before the end of a job is tried again. */
+/**
+ * A controller waits at least this long after the last write of a job's records before it tries to
+ * record the end of the job.
+ */
 #define MV_JOB_END_INTERVAL_S 0.1
-/** Before the end of a job that does not show in the state cache is sent again. */
+/**
+ * If the state cache does not show the recorded end of a job after this long, the controller sends
+ * the end again.
+ */
 #define MV_JOB_END_RETRY_S 4.5
-/** Between deletions of completion records that ended jobs left. */
+/**
+ * A controller waits this long between two transactions that delete completion records of ended
+ * jobs.
+ */
 #define MV_GARBAGE_COLLECTION_INTERVAL_S 1.0
-/** Ended jobs that are cached, about 100 bytes each. */
+/** Most ended jobs in the cache of final states; each takes about 100 bytes. */
 #define MV_FINAL_CACHE_JOBS 20000
 
 /* --- Scheduling: rounds --- */
 
-/** Shortest pause between rounds of placement. */
+/** Shortest pause between two scheduling rounds. */
 #define MV_ROUND_INTERVAL_MIN_S 0.02
-/** Added for each pending task: batches grow with the load. */
+/**
+ * The pause between two scheduling rounds grows by this for each pending task, so that batches grow
+ * with the load.
+ */
 #define MV_ROUND_INTERVAL_PER_TASK_S 0.0002
-/** Longest pause that pending tasks lead to. */
+/** Longest pause between two scheduling rounds that pending tasks cause. */
 #define MV_ROUND_INTERVAL_MAX_S 0.5
 /**
- * Shortest pause for each machine examined in the last round: 0.1 us each, so 1.5% of a core; ...
+ * The pause after a scheduling round is at least this for each machine that the round examined. An
+ * examination takes 0.1 us, so rounds take 1.5% of a core.
  */
 #define MV_ROUND_INTERVAL_PER_MACHINE_S 0.000006
-/** ... but with it never more than this. Pending tasks get a round at least so often. */
+/**
+ * Longest pause between two scheduling rounds, also after a round that examined many machines.
+ * Pending tasks get a round at least this often.
+ */
 #define MV_ROUND_DEADLINE_S 1.0
-/** Kinds of tasks without a fitting machine that a round remembers. */
+/** A scheduling round remembers at most this many kinds of tasks for which no machine fits. */
 #define MV_UNSCHEDULABLE_KINDS_MAX 16u
-/** Tolerance for sums of decimal fractions: cores, GPUs, GB. */
+/** Tolerance for rounding errors in sums of cores, GPUs and GB, which may be decimal fractions. */
 #define MV_RESOURCE_EPSILON 1e-6
 
 /* --- Scheduling: placement and starvation --- */
 
-/** Wait for a machine that has the image (DESIGN page). */
+/**
+ * Default of the longest time that a task waits for a machine that already has its image (see the
+ * DESIGN page).
+ */
 #define MV_IMAGE_WAIT_S 5.0
-/** Share of a start objective that may be spent on waiting for an image. */
+/**
+ * A task waits for a machine that has its image for at most this share of its job's start
+ * objective.
+ */
 #define MV_IMAGE_WAIT_SHARE 0.1
-/** Differences in fetch time below this do not matter. */
+/**
+ * The scheduler ignores differences between machines in the time to fetch an image that are below
+ * this step.
+ */
 #define MV_FETCH_STEP_S 0.5
-/** Start objectives below this make a job latency-sensitive: they justify preemption. */
+/**
+ * A job with a start objective below this is latency-sensitive, and the scheduler may preempt other
+ * tasks for the job.
+ */
 #define MV_LATENCY_SENSITIVE_S 20.0
-/** Weight of the latest such job in their usual size. */
+/**
+ * Weight of a team's latest latency-sensitive job in the smoothed size of the team's
+ * latency-sensitive jobs.
+ */
 #define MV_LATENCY_SENSITIVE_SMOOTHING 0.2
-/** Share of a team's limit that is kept free as headroom for such jobs at most. */
+/**
+ * At most this share of a team's limit is kept free as headroom for the team's latency-sensitive
+ * jobs.
+ */
 #define MV_HEADROOM_SHARE_MAX 0.2
-/** After this nothing is reserved any more from a job that waits; 90 s are the rule. */
+/**
+ * A job that has waited this long is starving, and no capacity is kept back from it any more. The
+ * rule is 90 s: after that, a job that waits although a machine has the resources counts as
+ * starved.
+ */
 #define MV_STARVATION_TIMEOUT_S 45.0
-/** A job of which nothing ran for this long precedes its equals, ... */
+/**
+ * A job that was accepted this long ago, and of which no task has been placed, precedes other jobs
+ * of its priority.
+ */
 #define MV_STARVED_AFTER_S 120.0
-/** ... and after this all others; 4 minutes are the rule. */
+/**
+ * A job that was accepted this long ago, and of which no task has been placed, precedes all other
+ * jobs except services that are guaranteed or have production priority. The rule is that the job's
+ * first task starts within 4 minutes.
+ */
 #define MV_STARVED_SEVERELY_AFTER_S 150.0
 
 /* --- Scheduling: preemption --- */
 
-/** Until a stop command has arrived and its effect is reported. */
+/** Time until a stop command has reached its agent and its effect is reported. */
 #define MV_STOP_LATENCY_S 0.5
-/** Tasks of a job for which others are preempted in one round. */
+/** In one scheduling round, other tasks are preempted for at most this many tasks of a job. */
 #define MV_PREEMPTION_BATCH 400u
-/** In a large fleet, before others are preempted for the same job again. */
+/**
+ * In a large fleet, the scheduler waits this long before it preempts other tasks for the same job
+ * again.
+ */
 #define MV_PREEMPTION_INTERVAL_S 0.7
-/** Cost of examining a machine for victims, against 1 for examining it for free resources. */
+/**
+ * Examining a machine for tasks to preempt costs this many times as much as examining the machine
+ * for free resources.
+ */
 #define MV_PREEMPTION_COST_FACTOR 8
 
 /* --- Scheduling: services --- */
 
-/** A lost replica is to be back within seconds. */
+/** Longest start objective of a service: a lost replica must run again within seconds. */
 #define MV_SERVICE_START_OBJECTIVE_S 5.0
-/** A replica that exited sooner failed: the next one waits a little. */
+/**
+ * A replica that exited before this age counts as failed, and its successor starts after a pause.
+ */
 #define MV_REPLICA_LIFETIME_MIN_S 10.0
-/** Machines of a partition that has a reserve before its first service, ... */
+/** A partition of at least this many machines has reserve slots before its first service. */
 #define MV_RESERVE_MACHINES_MIN 50
-/** ... of so many slots, ... */
+/** Reserve slots of a large partition before its first service. */
 #define MV_RESERVE_SLOTS_INITIAL 16
-/** ... with so much memory each, ... */
+/** Memory of each reserve slot before a partition's first service. */
 #define MV_RESERVE_RAM_GB 2.0
-/** ... and an image of this size: with these services were announced. */
+/**
+ * Size of the image that a reserve slot is prepared for before a partition's first service:
+ * services were announced with this size.
+ */
 #define MV_RESERVE_IMAGE_GB 2.0
-/** Slots that are reserved for replicas in a partition at most. */
+/** Most slots of a partition that are reserved for replicas. */
 #define MV_RESERVE_SLOTS_MAX 64
 
 /* --- Scheduling: defragmentation --- */
 
-/** Machines that begin to drain in one pass. */
+/** Most machines that begin to drain in one defragmentation pass. */
 #define MV_DRAIN_BATCH 8u
-/** Share of the cores in use that has to be free on the other machines. */
+/**
+ * Machines are drained only if the machines that remain have free cores of at least this share of
+ * the cores in use.
+ */
 #define MV_DRAIN_HEADROOM_SHARE 0.2
-/** A start counts if the task is not stopped sooner (protocol page). */
+/**
+ * A start counts only if the task is not stopped within this time (see the protocol page), so
+ * defragmentation does not move a task that has run for less.
+ */
 #define MV_START_COUNTS_AFTER_S 30.0
-/** A task is moved only if it has to run for so many times as long as its checkpoint takes. */
+/**
+ * Defragmentation moves a task only if the task still has to run for this many times as long as its
+ * checkpoint takes.
+ */
 #define MV_MOVE_REMAINING_FACTOR 1.5
-/** Tasks that are examined for a move in one pass. */
+/** Most tasks that one defragmentation pass examines for a move. */
 #define MV_MOVE_BATCH 32u
 
 /* --- Autoscaling: demand and transferable machines --- */
 
-/** How often the owners of shards publish their demand to the leader, ... */
+/**
+ * The owner of a shard publishes its demand to the leader this often, plus
+ * MV_DEMAND_INTERVAL_PER_MACHINE_S for each machine; the leader plans this often.
+ */
 #define MV_DEMAND_INTERVAL_S 0.5
-/** ... and less often by this for each machine in it. */
+/**
+ * The interval at which the owner of a shard publishes its demand grows by this for each machine of
+ * the shard, because each machine adds to the message.
+ */
 #define MV_DEMAND_INTERVAL_PER_MACHINE_S 0.001
-/** Older demand is not acted upon. */
+/**
+ * The leader ignores a shard's demand that is older than this, and an owner ignores older demand of
+ * other shards.
+ */
 #define MV_DEMAND_TTL_S 4.0
-/** A machine that has been idle for this long is transferable to other shards. */
+/** A machine that has been idle for this long may be transferred to another shard. */
 #define MV_TRANSFERABLE_IDLE_S 0.7
-/** One in so many of a partition's machines is not. */
+/**
+ * A shard's owner keeps one in this many machines of the partition, instead of declaring them all
+ * transferable.
+ */
 #define MV_TRANSFERABLE_RETAINED_DIVISOR 20u
 
 /* --- Autoscaling: scale out and in --- */
 
-/** Nothing is requested for less pending work than this, measured in time of the whole fleet. */
+/**
+ * If the whole fleet would finish the pending work in less time than this, the leader requests no
+ * machine for work that is not urgent and that the fleet can run.
+ */
 #define MV_BACKLOG_MIN_S 16.0
-/** For latency-sensitive work a price is multiplied by the boot time plus this. */
+/**
+ * For latency-sensitive work, the leader multiplies the price of a machine by the machine's boot
+ * time plus this.
+ */
 #define MV_BOOT_PENALTY_S 15.0
-/** No new request for a type and kind of machine that had no capacity. */
+/**
+ * The leader sends no new request for a type and kind of machine for this long after the cloud had
+ * no capacity for them.
+ */
 #define MV_CAPACITY_BACKOFF_S 12.0
-/** A machine that boots for longer than so many times the nominal time is given up. */
+/**
+ * Default of the boot time, in multiples of the nominal time, after which a machine is given up.
+ */
 #define MV_BOOT_TIMEOUT_FACTOR 3.0
-/** The cheapest kind of machine is scaled in after so long without work, ... */
+/**
+ * Default of the idle time after which the cheapest kind of machine is scaled in; dearer machines
+ * have a proportionally shorter time.
+ */
 #define MV_IDLE_TIMEOUT_S 60.0
-/** ... and the dearest not before this. */
+/** No machine is scaled in before it has been idle for this long, however dear it is. */
 #define MV_IDLE_TIMEOUT_MIN_S 10.0
-/** A machine costs at least this (protocol page). */
+/**
+ * The cloud charges at least this much time for a machine (see the protocol page), so a younger
+ * machine is not scaled in.
+ */
 #define MV_CHARGE_MIN_S 60.0
 
 /* --- Autoscaling: reconciliation with the cloud --- */
 
-/** Between lists of the cloud's machines. */
+/** The leader requests the list of the cloud's machines this often. */
 #define MV_LIST_INTERVAL_S 5.0
-/** Between lists of machine types and prices. */
+/** A controller requests the cloud's machine types and prices this often. */
 #define MV_TYPES_INTERVAL_S 60.0
-/** A listed machine that is in no partition is adopted at this age. */
+/**
+ * The leader adopts a machine that is in the cloud's list, but in no partition, when the machine
+ * has this age.
+ */
 #define MV_ADOPTION_AGE_S 20.0
-/** A machine that was scaled in is not adopted again from a late list for so long. */
+/**
+ * A machine that was scaled in is not adopted again for this long, because a late list may still
+ * contain it.
+ */
 #define MV_RELEASED_TTL_S 60.0
 
 /* --- Storage: requests to the state service --- */
 
-/** Requests of users and transactions at the state service at once. */
+/**
+ * Most requests of users and transactions that one controller sends to the state service at the
+ * same time.
+ */
 #define MV_STATE_STORE_THREADS 8
-/** A request has this long to get a response. */
+/** The state service has this long to respond to a request. */
 #define MV_STATE_STORE_TIMEOUT_MS 1500
-/** A renewal of the session without a response is sent again after this. */
+/**
+ * If a renewal of the session has no response after this long, the controller sends another
+ * renewal.
+ */
 #define MV_SESSION_TIMEOUT_MS 700
-/** Attempts of a request that was refused over the rate limit. */
+/** Attempts for a request that the state service refuses because the rate limit is exceeded. */
 #define MV_STATE_STORE_ATTEMPTS 4
-/** First pause after such a refusal; the second is twice as long, and so on. */
+/**
+ * Pause after the state service refused a request for the first time because of its rate limit; the
+ * second pause is twice as long, the third three times.
+ */
 #define MV_STATE_STORE_BACKOFF_MS 120
-/** Length of one watch: events that a network partition swallows show after it, ... */
+/**
+ * A watch ends after this long. Events that a network partition swallowed are seen by the next
+ * watch.
+ */
 #define MV_WATCH_LENGTH_MS 3000
-/** ... and its length while polls of users wait for the next one. */
+/** A watch ends after this long while polls of users wait for the result of the next watch. */
 #define MV_WATCH_LENGTH_SHARED_MS 200
-/** Shortest interval between watches, so that events are batched, ... */
+/** Shortest interval between two watches, in which events gather into a batch. */
 #define MV_WATCH_INTERVAL_MS 80
-/** ... longer for each live job, as there is more to batch, ... */
+/**
+ * The interval between two watches grows by this for each live job, because more jobs give more
+ * events to batch.
+ */
 #define MV_WATCH_INTERVAL_PER_JOB_MS 2
-/** ... but never longer than this. */
+/** Longest interval between two watches. */
 #define MV_WATCH_INTERVAL_MAX_MS 250
 
 /* --- Storage: write budget --- */
 
 /**
- * Share of the limit for writes that is for completion records where several controllers write
- * them.
+ * Share of the state service's write limit for completion records, divided among the controllers
+ * that write them.
  */
 #define MV_DEFERRABLE_WRITE_SHARE 0.4
-/** Share of our part of that limit that is left after a refusal, ... */
+/**
+ * After the state service refused a write, a controller multiplies its share of the write limit by
+ * this.
+ */
 #define MV_WRITE_RATE_DECREASE 0.8
-/** ... never below a third, as three controllers are usual, ... */
+/**
+ * A controller's share of the write limit never falls below this: with the usual three controllers,
+ * a third of the limit is due to each.
+ */
 #define MV_WRITE_RATE_SHARE_MIN 0.35
-/** ... and so much is added in each second. */
+/** Each second, a controller adds this to its share of the write limit. */
 #define MV_WRITE_RATE_INCREASE 0.05
 
 /* --- Transport: HTTP server --- */
 
-/** Connections that wait to be accepted. */
+/** Most connections that wait to be accepted. */
 #define MV_HTTP_BACKLOG_CONNECTIONS 1024
-/** Share of all sockets for connections that others open. */
+/** Share of all sockets for connections that agents and users open. */
 #define MV_HTTP_SOCKET_SHARE 0.74
-/** Share of the memory for them. */
+/** Share of the memory for connections that agents and users open. */
 #define MV_HTTP_RAM_SHARE 0.4
-/** Kilobytes of memory that one of them takes, with its request. */
+/** Kilobytes of memory that one incoming connection takes, with its request. */
 #define MV_HTTP_CONNECTION_KB 16
-/** Bytes of them that libmicrohttpd allocates for a connection. */
+/**
+ * Bytes of memory that libmicrohttpd allocates for an incoming connection, a part of
+ * MV_HTTP_CONNECTION_KB.
+ */
 #define MV_HTTP_CONNECTION_BYTES (8 * 1024)
 /**
- * When more than this share of connections is open, those of agents are closed with each response.
+ * While more than this share of the allowed connections is open, the HTTP server closes the
+ * connection of an agent with each response.
  */
 #define MV_HTTP_SATURATED_SHARE 0.85
-/** Requests that are answered without a pause of the library's thread. */
+/** The HTTP library's thread answers this many requests before it pauses. */
 #define MV_HTTP_REQUEST_BATCH 64
-/** Microseconds of that pause: all that waits for the controller's lock gets its turn. */
+/**
+ * The HTTP library's thread pauses for this long after each batch of requests, so that every other
+ * thread that waits for the controller's lock gets its turn.
+ */
 #define MV_HTTP_PAUSE_US 1000
-/** Heartbeat intervals after which an idle connection is closed, ... */
+/**
+ * The HTTP server closes a connection that has been idle for this many heartbeat intervals, but not
+ * before MV_CONNECTION_IDLE_MIN_S.
+ */
 #define MV_CONNECTION_IDLE_HEARTBEATS 4
-/** ... but not before this: users poll every 5 s. */
+/**
+ * The HTTP server closes no connection that has been idle for less than this, because users poll
+ * every 5 s.
+ */
 #define MV_CONNECTION_IDLE_MIN_S 15
 
 /* --- Transport: HTTP client --- */
 
-/** To connect; nothing is further away than this. */
+/** Longest time to establish a connection; no host is further away than this. */
 #define MV_CONNECT_TIMEOUT_MS 1000
-/** Bytes of a response that we read; watches have no limit of their own. */
+/**
+ * The HTTP client rejects a response of more bytes than this, because responses to watches have no
+ * limit of their own.
+ */
 #define MV_RESPONSE_BYTES_MAX (8 * 1024 * 1024)
-/** Connections that a thread keeps open: to the machines of its command queue, ... */
+/** Most connections that a thread keeps open to the machines of its command queue. */
 #define MV_CLIENT_CONNECTIONS_MAX 60
-/** ... and at least so many, however few sockets there are. */
+/** A thread keeps at least this many connections open, even if few sockets are available. */
 #define MV_CLIENT_CONNECTIONS_MIN 2
-/** Share of all sockets for the connections that direct commands keep open. */
+/** Share of all sockets for the connections that the threads for direct commands keep open. */
 #define MV_COMMAND_SOCKET_SHARE 0.18
 
 /* --- Transport: peers --- */
 
-/** A peer has this long to respond. */
+/** A peer has this long to respond to a message. */
 #define MV_PEER_TIMEOUT_MS 600
-/** A peer has this long for a user's request that it serves for us. */
+/** A peer has this long to respond to a user's request that this controller has forwarded. */
 #define MV_FORWARD_TIMEOUT_MS 1500
 /**
- * Bytes of a message between controllers; demand takes 87 for each machine of a partition, as
- * measured.
+ * Most bytes of a message between controllers; demand takes 87 bytes for each machine of a
+ * partition.
  */
 #define MV_FRAME_BYTES_MAX (1024 * 1024)
-/** Connections from peers, old ones included. */
+/** Most connections from peers, including old connections that have not been closed yet. */
 #define MV_PEER_CONNECTIONS_MAX 64
 
 /* --- Server: threads and timeouts --- */
 
-/** Stack of a thread: hundreds must fit into the memory. */
+/** Stack of a thread: the stacks of hundreds of threads must fit into memory. */
 #define MV_THREAD_STACK_BYTES (96 * 1024)
-/** Requests of users that wait for the state service or a peer at once. */
+/**
+ * Threads for requests of users: at most this many requests wait for the state service or a peer at
+ * the same time.
+ */
 #define MV_REQUEST_THREADS 64
-/** Transactions in flight; one more thread has the deferrable ones. */
+/** Urgent transactions in flight; one more thread sends the deferrable transactions. */
 #define MV_TRANSACTION_THREADS 2
-/** Requests to the cloud in flight: one may hang. */
+/** Requests to the cloud in flight: two, because one request may hang. */
 #define MV_CLOUD_THREADS 2
 /** The cloud has this long to respond. */
 #define MV_CLOUD_TIMEOUT_MS 5000
-/** Direct commands in flight, ... */
+/** Threads for direct commands; each serves the machines of its own command queue. */
 #define MV_COMMAND_THREADS 24
-/** ... and so many more where machines that do not respond hold those up. */
+/**
+ * Most additional threads for direct commands. The server starts one if machines that do not
+ * respond hold up the other threads.
+ */
 #define MV_COMMAND_EXTRA_THREADS 72
-/** A command queue that is busy for longer is helped by others. */
+/**
+ * If a thread has been busy with one direct command for longer than this, other threads help with
+ * its command queue.
+ */
 #define MV_COMMAND_QUEUE_SLOW_S 0.1
-/** An agent has this long to respond to a direct command, ... */
+/** An agent has this long to respond to a direct command. */
 #define MV_COMMAND_TIMEOUT_MS 1500
 /**
- * ... and this long to a probe, which carries no command: a failed machine then holds up less.
- * Longer with each unanswered one, ...
+ * An agent has this long to respond to a first probe, which carries no command. The short timeout
+ * limits how long a failed machine holds up a thread. The timeout of the next probe grows by this
+ * with each unanswered command or probe, up to MV_PROBE_TIMEOUT_MAX_MS.
  */
 #define MV_PROBE_TIMEOUT_MS 400
-/** ... up to this. */
+/**
+ * Longest time that an agent has to respond to a probe after earlier commands or probes had no
+ * response.
+ */
 #define MV_PROBE_TIMEOUT_MAX_MS 1200
-/** Between health checks of peers while the state service does not respond. */
+/**
+ * While the state service does not respond, a controller checks the health of its peers this often.
+ */
 #define MV_PEER_HEALTH_INTERVAL_S 0.5
 
 /* --- Server: requests of users --- */
 
-/** Users poll a job roughly this often (protocol page). */
+/** Users poll a job roughly this often (see the protocol page). */
 #define MV_POLL_INTERVAL_S 5.0
 /**
- * Share of the state service's rate limit for polls; above it they share the results of watches.
+ * Share of the state service's rate limit for polls of users. If the expected polls exceed this
+ * share, polls share the results of watches instead of reading the state service.
  */
 #define MV_POLL_SHARE 0.2
-/** A poll waits so long for a watch; after that it reads for itself all the same. */
+/**
+ * A poll waits at most this long for a watch that shows the latest state; after that, the poll
+ * reads the state service itself.
+ */
 #define MV_POLL_WAIT_MAX_S 0.7
-/** Requests that wait for a thread; with more of them polls are rejected, ... */
+/** If this many requests wait for a thread, the server rejects polls. */
 #define MV_POLLS_QUEUED_MAX 120u
-/** ... and with more than this all others that would wait. */
+/**
+ * If this many requests wait for a thread, the server rejects every request that would have to
+ * wait, not only polls.
+ */
 #define MV_REQUESTS_QUEUED_MAX 200u
-/** Seconds in Retry-After of a 503. */
+/** Value of the Retry-After header of a 503 response, in seconds. */
 #define MV_RETRY_AFTER_S 1
-/** Seconds in Retry-After of a 429. */
+/** Value of the Retry-After header of a 429 response, in seconds. */
 #define MV_OVERLOAD_RETRY_AFTER_S 2
-/** Attempts of a cancellation against a record that changes meanwhile. */
+/** Attempts to cancel a job whose record changes at the same time. */
 #define MV_CANCEL_ATTEMPTS 4
-/** More machines than these are counted by kind in the status, not listed. */
+/**
+ * If there are more machines than this, the status command prints the number of machines of each
+ * kind instead of a list.
+ */
 #define MV_STATUS_MACHINES_MAX 60u
 
 /* --- Telemetry --- */
 
-/** A repeating event is printed once in this time. */
+/** A repeating event is logged at most once in this time. */
 #define MV_LOG_REPEAT_INTERVAL_S 5.0
 
 #endif
