--- a/src/coordination/foundation/action.h
+++ b/src/coordination/foundation/action.h
@@ -1,6 +1,7 @@
 /**
- * What the controller decides is handed out as actions, which the server carries out. Transactions
- * on the state store are actions that are filled in step by step.
+ * Actions: the controller decides on actions and puts them into a list; the server takes the
+ * actions from the list and carries them out. The controller fills in a transaction on the state
+ * store step by step.
  */
 #ifndef MV_ACTION_H
 #define MV_ACTION_H
@@ -11,18 +12,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What the server is to do. */
+/** What the server has to do for an action. */
 typedef enum {
     MV_ACTION_TRANSACTION,   /**< a transaction on the state store */
-    MV_ACTION_COMMAND,       /**< commands sent straight to a worker */
-    MV_ACTION_SCALE_OUT,     /**< a request for instances to the cloud */
-    MV_ACTION_SCALE_IN,      /**< machines are returned to the cloud */
-    MV_ACTION_LIST_MACHINES, /**< a page of the cloud's machine list */
-    MV_ACTION_LIST_TYPES,    /**< the cloud's machine types and prices */
-    MV_ACTION_PUBLISH_DEMAND /**< what a shard needs, for the leader */
+    MV_ACTION_COMMAND,       /**< direct commands to the agent of a machine */
+    MV_ACTION_SCALE_OUT,     /**< a request to the cloud for more machines */
+    MV_ACTION_SCALE_IN,      /**< a request to the cloud to release machines */
+    MV_ACTION_LIST_MACHINES, /**< a request for a page of the cloud's machine list */
+    MV_ACTION_LIST_TYPES,    /**< a request for the cloud's machine types and prices */
+    MV_ACTION_PUBLISH_DEMAND /**< a message with the demand of a shard to the leader */
 } mv_action_kind;
 
-/** A key must have this revision for a transaction to be carried out; 0: it must not exist. */
+/**
+ * A transaction is committed only if the key has this revision; revision 0 means that the key must
+ * not exist.
+ */
 typedef struct {
     char key[MV_KEY_SIZE];
     uint64_t revision;
@@ -31,24 +35,28 @@
 /** One put or delete of a transaction. */
 typedef struct {
     char key[MV_KEY_SIZE];
-    GBytes *data;       /**< owned; NULL: delete */
-    bool session_bound; /**< attached to our lease session */
+    GBytes *data;       /**< value to put, owned by the write; NULL: delete the key */
+    bool session_bound; /**< the key is attached to the lease session of this controller */
 } mv_write;
 
-/** Owned by whoever took it; mv_action_free. Which fields count depends on the kind. */
+/**
+ * An action. The caller that takes an action from the list owns the action and frees it with
+ * mv_action_free. The kind decides which fields are used.
+ */
 typedef struct {
     mv_action_kind kind;
-    uint64_t id; /**< rises with each action of a process; names it in the answer */
+    uint64_t
+        id; /**< increases with each action of a process; identifies the action in its result */
     /* MV_ACTION_TRANSACTION */
     GArray *preconditions; /**< mv_precondition */
     GArray *writes;        /**< mv_write */
-    bool urgent;           /**< false: it may wait for the write budget */
+    bool urgent;           /**< false: the transaction may be deferred by the write budget */
     /* MV_ACTION_COMMAND */
     char machine[MV_NAME_SIZE], address[64];
     uint64_t fencing_token, agent_epoch;
     unsigned timeout_ms;
     GArray *commands; /**< mv_command */
-    /* the cloud's */
+    /* MV_ACTION_SCALE_OUT, MV_ACTION_SCALE_IN, MV_ACTION_LIST_MACHINES */
     char name[MV_NAME_SIZE], type_name[MV_NAME_SIZE], zone_name[MV_NAME_SIZE];
     bool spot;
     unsigned count;
@@ -58,38 +66,42 @@
     char to[MV_NAME_SIZE];
 } mv_action;
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 typedef enum {
     MV_TRANSACTION_COMMITTED,
     MV_TRANSACTION_CONFLICT, /**< a precondition failed: nothing was written */
-    MV_TRANSACTION_UNKNOWN,  /**< no answer: it may have been carried out, or may be yet */
+    MV_TRANSACTION_UNKNOWN,  /**< no response: the writes may have been carried out, or still may be
+                              */
     MV_TRANSACTION_TOO_LARGE /**< beyond a limit of the state store: nothing was written */
 } mv_transaction_result;
 
-/** Actions that were decided and not taken yet, in order. */
+/** The actions that the controller decided on and the server has not taken yet, oldest first. */
 typedef struct {
     GQueue *queue;
     uint64_t last_id;
 } mv_action_list;
 
-/** Initialises a list without actions; call mv_action_list_clear at the end. */
+/** Initializes an empty list, which the caller clears with mv_action_list_clear. */
 void mv_action_list_init(mv_action_list *actions);
-/** Frees the actions that were not taken, and the queue; not `actions` itself. */
+/** Frees the actions that were not taken, and the queue, but not `actions` itself. */
 void mv_action_list_clear(mv_action_list *actions);
-/** The oldest action, owned by the caller, or NULL. */
+/** Removes the oldest action and returns it; the caller owns it. Returns NULL for an empty list. */
 mv_action *mv_action_list_take(mv_action_list *actions);
 
-/** Appends an empty action to the queue, which owns it. */
+/** Appends an empty action, which the list owns until it is taken, and returns it. */
 mv_action *mv_action_new(mv_action_list *actions, mv_action_kind kind);
-/** Frees an action with all that it owns; NULL is allowed. Only for actions that were taken. */
+/** Frees an action that was taken from its list, and everything it owns; NULL is allowed. */
 void mv_action_free(mv_action *action);
 
-/** Appends an empty transaction. `urgent`: false if it may wait for the write budget. */
+/**
+ * Appends an empty transaction, which the list owns until it is taken, and returns it. If `urgent`
+ * is false, the write budget may defer the transaction.
+ */
 mv_action *mv_transaction_new(mv_action_list *actions, bool urgent);
-/** Adds a precondition: the key has this revision; 0: it does not exist. */
+/** Adds the precondition that the key has this revision, or with revision 0 does not exist. */
 void mv_transaction_require(mv_action *transaction, const char *key, uint64_t revision);
-/** Adds a put; takes `data`. */
+/** Adds a put. The transaction takes ownership of `data`. */
 void mv_transaction_put(mv_action *transaction, const char *key, GBytes *data, bool session_bound);
-/** Adds a delete. */
+/** Adds the deletion of a key. */
 void mv_transaction_delete(mv_action *transaction, const char *key);
 #endif
--- a/src/coordination/foundation/clock.h
+++ b/src/coordination/foundation/clock.h
@@ -1,6 +1,6 @@
 /**
- * Time as the pure coordination code knows it: handed in with every event, never read from a clock.
- * All times are steady seconds unless a name says wall time.
+ * The time in the coordination code, which never reads a clock: the caller passes the time with
+ * every event. All times are seconds of a monotonic ("steady") clock unless a name says wall time.
  */
 #ifndef MV_CLOCK_H
 #define MV_CLOCK_H
@@ -8,20 +8,26 @@
 
 /** The time of the latest event. */
 typedef struct {
-    double now;              /**< steady; never goes back */
-    double wall_offset;      /**< wall time less steady time, as of the last tick */
-    double last_tick_at;     /**< 0: no tick yet */
-    double overloaded_until; /**< our own ticks are late: a missing heartbeat proves nothing */
+    double now;              /**< steady time, which never decreases */
+    double wall_offset;      /**< wall time minus steady time, at the last tick */
+    double last_tick_at;     /**< 0: there was no tick yet */
+    double overloaded_until; /**< until then this process counts as overloaded, because a tick was
+                                late: a missing heartbeat proves nothing */
 } mv_clock;
 
-/** Advances to the time of an event; an earlier time changes nothing. */
+/** Advances the clock to the time of an event. An earlier time changes nothing. */
 void mv_clock_advance(mv_clock *clock, double now);
-/** Advances with a tick, and returns the seconds since the tick before (0: there was none). */
+/**
+ * Advances the clock to the time of a tick. Returns the seconds since the previous tick, or 0 for
+ * the first tick. A large gap marks this process as overloaded for a while.
+ */
 double mv_clock_tick(mv_clock *clock, double now, double wall_now);
-/** Whether answers may lie unread because this process got its processor late. */
+/**
+ * Returns whether responses may lie unread because this process was late to get processor time.
+ */
 bool mv_clock_is_overloaded(const mv_clock *clock);
-/** The present wall time, seconds. */
+/** Returns the current wall time in seconds. */
 double mv_clock_wall_time(const mv_clock *clock);
-/** A recorded wall time on our steady clock, never in the future. */
+/** Converts a recorded wall time to steady time. The result is never in the future. */
 double mv_clock_steady_from_wall(const mv_clock *clock, double wall_time);
 #endif
--- a/src/coordination/foundation/transaction_slot.c
+++ b/src/coordination/foundation/transaction_slot.c
@@ -2,11 +2,14 @@
 
 #include "safety_checks.h"
 
-/* Made anew after some seconds, a transaction conflicted with the first, conflicts count against
- * the limit of writes, and so the queue grew with each. With 4,000 machines a controller that was
- * back waited 12 s to be announced. With the revisions of before its answer shows in the state
- * cache, the next one conflicted too. How fresh the cache is says too little: a watch without
- * events takes seconds. */
+/* The slot stays busy until the transaction has a result, because a second transaction that is sent
+ * after a few seconds conflicts with the first. Conflicts count against the write limit, so each
+ * one lengthens the queue: with 4,000 machines, the entry of a controller that had come back was
+ * written only after 12 s.
+ *
+ * After the response, the slot stays busy until the state cache shows the result: until then the
+ * next transaction would carry the old revisions and conflict too. The slot does not wait for the
+ * time up to which the cache is complete, because a watch without events takes seconds. */
 bool mv_transaction_slot_busy(mv_transaction_slot *slot, const mv_clock *clock)
 {
     if (slot->transaction_id && clock->now > slot->retry_at)
@@ -35,12 +38,13 @@
 {
     if (slot->transaction_id != id)
         return;
-    if (result == MV_TRANSACTION_TOO_LARGE) { /* the same is not sent again at once */
+    if (result == MV_TRANSACTION_TOO_LARGE) {
+        /* The slot stays busy for a while, so that the transaction is not sent again at once. */
         slot->retry_at = clock->now + MV_TRANSACTION_RETRY_S;
         return;
     }
     slot->transaction_id = 0;
-    /* The watch may have shown it before the answer came. */
+    /* The state cache may have shown the writes before the response arrived. */
     bool committed_unseen = result == MV_TRANSACTION_COMMITTED && slot->observed_at < slot->sent_at;
     bool unseen = result == MV_TRANSACTION_CONFLICT || committed_unseen;
     slot->answered_at = unseen && !slot->cache_not_awaited ? clock->now : 0;
--- a/src/coordination/foundation/transaction_slot.h
+++ b/src/coordination/foundation/transaction_slot.h
@@ -1,32 +1,42 @@
 /**
- * A transaction of which one at a time is under way.
+ * A transaction slot lets one transaction of a kind be in flight at a time.
  *
- * A slot is busy from sending until the answer, also while the transaction waits for its turn and
- * for the write budget; and after the answer until the state cache shows what came of it.
+ * A slot is busy from the moment a transaction is sent until its response arrives, including the
+ * time that the transaction waits in the queue and for the write budget. After the response, the
+ * slot stays busy until the state cache shows the result.
  */
 #ifndef MV_TRANSACTION_SLOT_H
 #define MV_TRANSACTION_SLOT_H
 #include "coordination/foundation/action.h"
 #include "coordination/foundation/clock.h"
 
-/** All zero: nothing is under way. Times are steady seconds. */
+/** A slot with all fields zero has no transaction in flight. Times are steady seconds. */
 typedef struct {
-    uint64_t transaction_id; /**< 0: none */
+    uint64_t transaction_id; /**< transaction in flight; 0: none */
     double sent_at;
-    double retry_at;        /**< when it is made anew without an answer */
-    double answered_at;     /**< the state cache does not show yet what came of it; 0: it does */
-    double observed_at;     /**< when the state cache last showed a change of what it writes */
-    bool cache_not_awaited; /**< its records carry revisions of their own */
+    double retry_at;        /**< without a response, another transaction may be sent from then on */
+    double answered_at;     /**< time of a response whose result the state cache does not show yet;
+                               0: the cache shows the last result */
+    double observed_at;     /**< when the state cache last showed a change of the slot's records */
+    bool cache_not_awaited; /**< after a response the slot does not wait for the state cache,
+                               because the written records carry their own revisions */
 } mv_transaction_slot;
 
-/** Whether another transaction has to wait; forgets one whose answer is overdue. */
+/**
+ * Returns whether another transaction of the slot must wait. Gives up a transaction whose response
+ * is overdue.
+ */
 bool mv_transaction_slot_busy(mv_transaction_slot *slot, const mv_clock *clock);
-/** A transaction of the slot was decided. */
+/** Records that a transaction of the slot is handed to the server. */
 void mv_transaction_slot_sent(mv_transaction_slot *slot, const mv_clock *clock,
                               const mv_action *transaction);
-/** The state cache shows a change of what the slot's transactions write. */
+/** Records that the state cache shows a change of the records that the slot's transactions write.
+ */
 void mv_transaction_slot_observed(mv_transaction_slot *slot, const mv_clock *clock);
-/** A transaction was answered; nothing happens unless it is the slot's. */
+/**
+ * Records the result of the transaction with this id. Does nothing if the slot has another
+ * transaction in flight, or none.
+ */
 void mv_transaction_slot_answered(mv_transaction_slot *slot, const mv_clock *clock, uint64_t id,
                                   mv_transaction_result result);
 #endif
