--- a/src/coordination/foundation/action.h
+++ b/src/coordination/foundation/action.h
@@ -45,8 +45,7 @@
  */
 typedef struct {
     mv_action_kind kind;
-    uint64_t
-        id; /**< increases with each action of a process; identifies the action in its result */
+    uint64_t id; /**< number of the action within this process; a result carries the same id */
     /* MV_ACTION_TRANSACTION */
     GArray *preconditions; /**< mv_precondition */
     GArray *writes;        /**< mv_write */
@@ -70,8 +69,7 @@
 typedef enum {
     MV_TRANSACTION_COMMITTED,
     MV_TRANSACTION_CONFLICT, /**< a precondition failed: nothing was written */
-    MV_TRANSACTION_UNKNOWN,  /**< no response: the writes may have been carried out, or still may be
-                              */
+    MV_TRANSACTION_UNKNOWN,  /**< no response: the transaction may have committed, or still may */
     MV_TRANSACTION_TOO_LARGE /**< beyond a limit of the state store: nothing was written */
 } mv_transaction_result;
 
--- a/src/coordination/foundation/counters.h
+++ b/src/coordination/foundation/counters.h
@@ -1,9 +1,10 @@
-/** What a controller counts, for metrics. */
+/** The counters of a controller that are exported as metrics. */
 #ifndef MV_COUNTERS_H
 #define MV_COUNTERS_H
 #include "connectivity/link_report.h"
 
-/** Counts since the start of the process, and present numbers. */
+/** Counts since the start of the process (uint64_t), and current numbers and states (the others).
+ */
 typedef struct {
     uint64_t rounds, placed, jobs_finished, requeued, preempted, task_failures, machines_rented,
         machines_released, shard_acquisitions, machines_moved, machines_examined, limits_reduced,
--- a/src/coordination/foundation/lease_session.h
+++ b/src/coordination/foundation/lease_session.h
@@ -1,6 +1,7 @@
 /**
- * Our session at the state store: the lease that everything stored for this process hangs on, and
- * how long it lets us act.
+ * The lease session of this controller at the state store. Keys that are bound to the session exist
+ * only while the session is alive, and the age of the session limits how long this controller may
+ * act.
  */
 #ifndef MV_LEASE_SESSION_H
 #define MV_LEASE_SESSION_H
@@ -8,19 +9,24 @@
 
 #include <stdint.h>
 
-/** Times are steady seconds; `open` only says what the state store last answered. */
+/** The lease session of this controller. Times are steady seconds. */
 typedef struct {
-    bool open;
-    uint64_t incarnation; /**< names this process for good; 0: there was no session yet */
-    double confirmed_at;  /**< a request sent then was answered, session alive */
-    double caught_up_to;  /**< the state cache was complete up to then */
+    bool open; /**< as the state store last reported; the session may have expired since */
+    uint64_t incarnation; /**< identifies this process permanently; 0: there was no session yet */
+    double confirmed_at;  /**< send time of the latest request whose response showed the session
+                             alive */
+    double caught_up_to;  /**< the state cache contains every change up to this time */
 } mv_lease_session;
 
-/** Whether the session is certainly alive at a time. */
+/** Returns whether the session is certainly alive at the time `now`. */
 bool mv_lease_session_is_alive(const mv_lease_session *session, double now);
-/** Our incarnation while the session is certainly alive, else 0. */
+/** Returns the incarnation of this process while the session is certainly alive, otherwise 0. */
 uint64_t mv_lease_session_incarnation(const mv_lease_session *session, const mv_clock *clock);
-/** Whether the last word from the state store is younger than a lease of that length, seconds. */
+/**
+ * Returns whether a lease of `lease_s` seconds is unexpired. The lease runs from the earlier of two
+ * times: the last confirmation of the session, and the time up to which the state cache is
+ * complete.
+ */
 bool mv_lease_session_within(const mv_lease_session *session, const mv_clock *clock,
                              double lease_s);
 #endif
--- a/src/coordination/foundation/machine_catalog.h
+++ b/src/coordination/foundation/machine_catalog.h
@@ -1,4 +1,6 @@
-/** The machine types that the cloud offers, in the cloud's order; a type mask has a bit for each.
+/**
+ * The machine types that the cloud offers, in the cloud's order. A type mask has one bit for each
+ * type.
  */
 #ifndef MV_MACHINE_CATALOG_H
 #define MV_MACHINE_CATALOG_H
@@ -6,20 +8,23 @@
 
 #include <glib.h>
 
-/** The list, replaced as a whole and never changed in place, and the request that reads it anew. */
+/**
+ * The list of machine types, which is replaced as a whole and never changed in place, and the state
+ * of the request that reads the list again.
+ */
 typedef struct {
-    GArray *types;       /**< mv_machine_type; NULL: not known yet */
-    uint64_t revision;   /**< of the record that keeps them; 0: none */
-    double requested_at; /**< when the cloud was last asked */
-    uint64_t request_id; /**< of the action that asks; 0: none under way */
+    GArray *types;       /**< mv_machine_type; NULL: the types are not known yet */
+    uint64_t revision;   /**< of the record that stores the types; 0: there is no record */
+    double requested_at; /**< when the types were last requested from the cloud */
+    uint64_t request_id; /**< id of the request in flight; 0: no request is in flight */
 } mv_machine_catalog;
 
-/** How many types are known. */
+/** Returns the number of known types. */
 guint mv_machine_catalog_size(const mv_machine_catalog *catalog);
-/** The type at an index below the size. */
+/** Returns the type at an index, which must be below the size. */
 const mv_machine_type *mv_machine_catalog_get(const mv_machine_catalog *catalog, guint index);
-/** The index of a type; -1: there is none of that name. */
+/** Returns the index of the type with this name, or -1 if there is no such type. */
 int mv_machine_catalog_find(const mv_machine_catalog *catalog, const char *name);
-/** The types on which a task of the job may run. */
+/** Returns the mask of the types on which a task of the job may run. */
 uint32_t mv_machine_catalog_mask(const mv_machine_catalog *catalog, const mv_job_spec *spec);
 #endif
--- a/src/coordination/foundation/team.h
+++ b/src/coordination/foundation/team.h
@@ -1,4 +1,5 @@
-/** A team with what its work uses; quota and fair share are kept per team. */
+/** A team and the resources that the work of the team uses. Each team has a quota and a
+ * fair share. */
 #ifndef MV_TEAM_H
 #define MV_TEAM_H
 #include "config/settings.h"
@@ -6,19 +7,24 @@
 
 typedef struct mv_shard mv_shard;
 
-/** Uses are counted over the placements that this controller knows; cores unless a name says so. */
+/**
+ * A team. Resource use covers the placements that this controller knows; the unit is cores unless
+ * the field names another.
+ */
 typedef struct {
     const mv_team_settings *settings;
-    mv_shard *home_shard;         /**< where the jobs of a team with a quota belong */
-    double used_cores, used_gpus; /**< by placements */
-    double stopping_cores;        /**< by tasks that are stopping */
+    mv_shard *home_shard;         /**< the shard that runs all jobs of a team with a quota */
+    double used_cores, used_gpus; /**< used by placements */
+    double stopping_cores;        /**< used by tasks that are stopping */
     /* latency-sensitive work */
-    double latency_sensitive_cores;         /**< used now */
-    double latency_sensitive_job_cores;     /**< by a usual job, smoothed */
-    mv_priority latency_sensitive_priority; /**< of the latest such job */
+    double latency_sensitive_cores;         /**< used by placed tasks of latency-sensitive jobs */
+    double latency_sensitive_job_cores;     /**< smoothed size of a latency-sensitive job */
+    mv_priority latency_sensitive_priority; /**< priority of the latest latency-sensitive job */
     /* within a scheduling round */
-    double preemptible_cores; /**< by its tasks with checkpoints that give way to such work */
-    double nominated_cores, reserved_cores;
-    double service_cores; /**< by replicas */
+    double preemptible_cores; /**< used by tasks with checkpoints that have a lower priority than
+                                 the team's latency-sensitive work */
+    double nominated_cores;   /**< of tasks for which a machine is nominated */
+    double reserved_cores;    /**< part of the quota that is kept free for a starved job */
+    double service_cores;     /**< used by replicas */
 } mv_team;
 #endif
--- a/src/coordination/foundation/transaction_slot.h
+++ b/src/coordination/foundation/transaction_slot.h
@@ -30,8 +30,7 @@
 /** Records that a transaction of the slot is handed to the server. */
 void mv_transaction_slot_sent(mv_transaction_slot *slot, const mv_clock *clock,
                               const mv_action *transaction);
-/** Records that the state cache shows a change of the records that the slot's transactions write.
- */
+/** Records that the state cache shows a change of a record that the slot's transactions write. */
 void mv_transaction_slot_observed(mv_transaction_slot *slot, const mv_clock *clock);
 /**
  * Records the result of the transaction with this id. Does nothing if the slot has another
