--- a/src/coordination/foundation/shard.h
+++ b/src/coordination/foundation/shard.h
@@ -1,8 +1,10 @@
 /**
- * A shard of the fleet: its lease and its partition, which are the machines that its owner may use.
+ * A shard of the fleet consists of a lease and a partition. The partition is the set of machines
+ * that the shard's owner may use.
  *
- * Which module writes what: membership the lease, the segments and their transactions; agents the
- * counts of machines and heartbeats; scheduling and autoscaling the fields named so.
+ * Each group of fields has one module that writes the group. Membership writes the lease, the
+ * segments and their transactions. Agents writes the counts of machines and heartbeats. Scheduling
+ * and autoscaling write the groups with their names.
  */
 #ifndef MV_SHARD_H
 #define MV_SHARD_H
@@ -12,66 +14,79 @@
 #include "protocol/records.h"
 
 /**
- * A partition is stored in several records, segments, for a value has a limit; each names some
- * machines.
+ * A segment: one of the records in which a partition is stored. A partition needs several records,
+ * because the size of a value in the state store is limited. Each record names some machines.
  */
 typedef struct {
     unsigned index;
-    uint64_t partition_revision, occupancy_revision; /**< 0: there is no such record */
-    guint recorded_members; /**< machines that its record names; more than `members`: some are in
-                               a newer segment */
-    GPtrArray *members;     /**< mv_machine, not owned */
-    GHashTable *occupied_names; /**< recorded as machines that may hold tasks */
-    unsigned unrecorded_count;  /**< confirmed members that are not among them */
-    bool needs_write;           /**< the leader has members to take out or to fence */
-    bool withdraws_transfer;    /**< the owner wants back what it declared transferable */
+    uint64_t partition_revision; /**< of the partition record; 0: there is no record */
+    uint64_t occupancy_revision; /**< of the occupancy record; 0: there is no record */
+    guint recorded_members;      /**< number of machines that the partition record names; if the
+                                    number exceeds that of `members`, a newer segment names the
+                                    machines that are missing in `members` */
+    GPtrArray *members;          /**< mv_machine, not owned */
+    GHashTable *occupied_names; /**< machines that the occupancy record lists, because they may hold
+                                   tasks */
+    unsigned unrecorded_count;  /**< confirmed members that the occupancy record does not list */
+    bool needs_write;           /**< the leader has to remove members or to fence them off */
+    bool withdraws_transfer;    /**< the shard's owner withdraws machines that the owner declared
+                                   transferable, by writing the occupancy record again */
 } mv_partition_segment;
 
 typedef struct mv_shard mv_shard;
 
-/** Times are steady seconds. Owned by the context (mv_context_shard), and never removed from it. */
+/** A shard. The context owns all shards and never removes one. Times are steady seconds. */
 struct mv_shard {
     unsigned index;
     /* the lease */
     mv_lease_holder holder;
-    uint64_t revision;       /**< of the shard record; 0: there is none */
-    uint64_t grant_revision; /**< of the record that brought the present term */
-    bool owned;     /**< by this process, as recorded; mv_shard_is_owned asks the lease too */
-    bool was_owned; /**< by mv_shard_is_owned, at the last tick */
-    double acquired_at;
-    bool rebuilt;          /**< every machine that may hold tasks has reported since */
-    unsigned resignations; /**< times in a row that its owner reached no machine */
+    uint64_t revision;       /**< of the shard record; 0: there is no record */
+    uint64_t grant_revision; /**< of the shard record that began the current term */
+    bool owned;              /**< the shard record names this process as the owner;
+                                mv_shard_is_owned also checks the lease */
+    bool was_owned;          /**< result of mv_shard_is_owned at the last tick */
+    double acquired_at;      /**< when the current owner was granted the shard */
+    bool rebuilt; /**< every machine that may hold tasks has reported to the current owner */
+    unsigned resignations; /**< number of owners in a row that resigned, because they reached no
+                              machine */
     /* the partition */
     GPtrArray *segments; /**< mv_partition_segment */
-    GArray *joining;     /**< mv_partition_member: to be recorded */
+    GArray *joining;     /**< mv_partition_member: machines that no partition record names yet */
     mv_transaction_slot partition_transaction, occupancy_transaction;
     double occupancy_recorded_at;
     /* agents */
     unsigned machine_count;
-    double listening_since;   /**< heartbeats of its machines are accepted since then */
-    double last_heartbeat_at; /**< of any of its machines; 0: never */
-    bool heartbeats_only;     /**< commands reach few of its machines: it is rather our own link */
+    double listening_since;   /**< the owner has accepted heartbeats of the shard's machines since
+                                 then */
+    double last_heartbeat_at; /**< last heartbeat of any machine of the shard; 0: there was none */
+    bool heartbeats_only; /**< heartbeats arrive, but commands reach less than half of the machines:
+                             the link of this controller is probably faulty */
     /* scheduling */
-    double last_job_at;       /**< the last job that has its home here */
-    mv_resources unknown_use; /**< within a round: what unconfirmed machines may use at most */
-    uint32_t scarce_types;    /**< within a round: types that some pending job cannot do without */
-    bool any_drained;         /**< some of its machines may be drained */
-    mv_resource_demand reserve; /**< capacity that its services would need after a loss */
-    unsigned reserve_slots;     /**< places for such replicas */
+    double last_job_at;       /**< arrival of the latest job whose home is this shard */
+    mv_resources unknown_use; /**< within a scheduling round: the most that machines with unknown
+                                 tasks may use */
+    uint32_t scarce_types; /**< within a scheduling round: machine types that are the only possible
+                              type of some pending job */
+    bool any_drained;      /**< some machines of the shard may be drained */
+    mv_resource_demand reserve; /**< capacity that the services of the shard would need after the
+                                   loss of a machine */
+    unsigned
+        reserve_slots; /**< number of such replicas that the machines of the shard have room for */
     /* autoscaling, by the owner */
     double demand_published_at;
     /* autoscaling, by the leader */
-    mv_shard_demand *demand; /**< last received; NULL: none */
+    mv_shard_demand *demand; /**< demand that the leader received last; NULL: none */
     double demand_received_at;
-    bool demand_unmet;              /**< it wants machines that are neither there nor coming */
-    bool starving;                  /**< ... for a job that has waited long */
-    uint32_t service_types_lacking; /**< ... for replicas: types that would do */
+    bool demand_unmet; /**< the shard needs more machines than it has or is about to get */
+    bool starving;     /**< the unmet demand includes a job that is starving */
+    uint32_t service_types_lacking; /**< machine types that could run replicas with unmet demand;
+                                       the cloud has none to offer */
 };
 
-/** A shard that nobody has been granted yet. */
+/** Creates a shard that no controller has been granted yet. */
 mv_shard *mv_shard_new(unsigned index);
-/** Frees a shard with its segments and the demand last received; machines are not its own. */
+/** Frees a shard, its segments and the last received demand, but not the machines. */
 void mv_shard_free(mv_shard *shard);
-/** A segment of its partition, made if need be. */
+/** Returns the segment with this index, and creates the segment if there is none. */
 mv_partition_segment *mv_shard_segment(mv_shard *shard, unsigned index);
 #endif
--- a/src/coordination/foundation/shard_demand.c
+++ b/src/coordination/foundation/shard_demand.c
@@ -1,6 +1,6 @@
 #include "coordination/foundation/shard_demand.h"
 
-/* Of a task that asks for nothing, as many fit as one likes. */
+/* Number of slots for a task that needs no resources: any number of such tasks fits. */
 #define SLOTS_UNBOUNDED 1e9
 
 void mv_shard_demand_free(mv_shard_demand *demand)
--- a/src/coordination/foundation/shard_demand.h
+++ b/src/coordination/foundation/shard_demand.h
@@ -1,7 +1,7 @@
 /**
- * What the owner of a shard and the leader exchange: tasks that wait for machines, the
- * state of the shard's machines, and what other shards need. Plain data; travels between
- * controllers (src/server/peer_codec.c).
+ * The messages that the owner of a shard and the leader exchange. The owner sends the demand of
+ * pending tasks and the state of the shard's machines, and the leader responds with the demand of
+ * the other shards. The types are plain data; src/server/peer_codec.c encodes them.
  */
 #ifndef MV_SHARD_DEMAND_H
 #define MV_SHARD_DEMAND_H
@@ -11,52 +11,57 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Tasks that wait and are alike for scaling out. */
+/** Demand of pending tasks that need the same machines. */
 typedef struct {
     double cores, gpus, ram_gb, runtime_s;
-    double image_gb;    /**< of a reserve: an image that would be fetched */
-    uint32_t type_mask; /**< a bit for each machine type */
+    double image_gb;    /**< in a reserve: size of the image that a replica would fetch */
+    uint32_t type_mask; /**< machine types that can run the tasks, one bit for each type */
     char zone_name[MV_NAME_SIZE];
     bool spot, urgent;
-    bool reserve;  /**< nothing waits yet: capacity that services would need after a loss */
-    bool service;  /**< for replicas: waiting ones, or a reserve */
-    bool starving; /**< of a job of which no task was placed for long */
+    bool reserve;  /**< no task is pending: capacity that services would need after the loss of a
+                      machine */
+    bool service;  /**< the demand is for pending replicas, or a reserve for replicas */
+    bool starving; /**< none of the job's tasks has been placed for a long time */
     unsigned count;
 } mv_resource_demand;
 
-/** What the owner of a shard knows of one of its machines. */
+/** The state of a machine as the shard's owner knows the machine. */
 typedef struct {
     char id[MV_NAME_SIZE];
     double idle_s, since_heartbeat_s, used_cores, used_ram_gb;
-    double service_cores, service_ram_gb; /**< of these, by replicas, which do not end */
+    double service_cores;  /**< part of used_cores that replicas use, which do not end */
+    double service_ram_gb; /**< part of used_ram_gb that replicas use */
     bool needs_fencing, release_pending, failed, departing;
-    uint64_t transferable_revision; /**< idle, and free to be moved while its occupancy record has
-                                       this revision; 0: no */
-    bool has_booted;                /**< it sent a heartbeat, or an owner used it before */
-    bool recently_reported;         /**< by this owner */
-    bool evicted_for_services;      /**< emptied for services of other shards: for nothing else */
+    uint64_t transferable_revision; /**< the machine is idle and may be moved to another shard while
+                                       the occupancy record has this revision; 0: not movable */
+    bool has_booted; /**< the machine sent a heartbeat, or an earlier owner used the machine */
+    bool recently_reported;    /**< this owner received a heartbeat of the machine recently */
+    bool evicted_for_services; /**< the machine was emptied for services of other shards, and may be
+                                  used for nothing else */
 } mv_machine_summary;
 
-/** What the owner of a shard publishes to the leader. */
+/** The message that the owner of a shard publishes to the leader. */
 typedef struct {
     char node[MV_NAME_SIZE];
     uint64_t incarnation, term;
     unsigned shard;
-    bool resigning;   /**< the owner reaches none of its machines: another may */
+    bool resigning;   /**< the owner reaches none of the machines, but another controller may */
     GArray *demands;  /**< mv_resource_demand */
     GArray *machines; /**< mv_machine_summary */
 } mv_shard_demand;
 
-/** What the leader answers: the demand of the other shards. */
+/** The response of the leader: the demand of the other shards. */
 typedef struct {
-    bool idle_machines_needed; /**< idle machines */
-    bool starving;             /**< ... for jobs that have waited long: nothing is kept back */
-    uint32_t service_types; /**< types that take replicas, of which none is to be had; a bit each */
+    bool idle_machines_needed; /**< other shards need idle machines */
+    bool starving;             /**< other shards need machines for starving jobs, so the owner keeps
+                                  no idle machine back */
+    uint32_t service_types;    /**< machine types that other shards need for replicas and the cloud
+                                  cannot provide, one bit for each type */
 } mv_peer_demand;
 
-/** Frees the demand with its lists; NULL is allowed. */
+/** Frees the demand and its lists; NULL is allowed. */
 void mv_shard_demand_free(mv_shard_demand *demand);
-/** How many such tasks fit into these resources. */
+/** Returns how many of the demanded tasks fit into these resources. */
 unsigned mv_demand_slots(const mv_resource_demand *demand, double cores, double gpus,
                          double ram_gb);
 #endif
--- a/src/coordination/foundation/team.h
+++ b/src/coordination/foundation/team.h
@@ -1,5 +1,6 @@
-/** A team and the resources that the work of the team uses. Each team has a quota and a
- * fair share. */
+/**
+ * A team and the resources that the work of the team uses. Each team has a quota and a fair share.
+ */
 #ifndef MV_TEAM_H
 #define MV_TEAM_H
 #include "config/settings.h"
