--- a/src/coordination/foundation/context.c
+++ b/src/coordination/foundation/context.c
@@ -40,8 +40,8 @@
 {
     double lease_s = mv_settings_shard_lease_s(context->settings) * (1 - MV_CLOCK_DRIFT);
     return shard && shard->owned &&
-           SAFETY_CHECK(LEASE,
-                        mv_lease_session_within(&context->session, &context->clock, lease_s));
+           SAFETY_CHECK(LEASE, mv_lease_session_confirmed_within(&context->session, &context->clock,
+                                                                 lease_s));
 }
 
 mv_team *mv_context_team(const mv_context *context, const char *name)
--- a/src/coordination/foundation/lease_session.c
+++ b/src/coordination/foundation/lease_session.c
@@ -14,7 +14,8 @@
     return mv_lease_session_is_alive(session, clock->now) ? session->incarnation : 0;
 }
 
-bool mv_lease_session_within(const mv_lease_session *session, const mv_clock *clock, double lease_s)
+bool mv_lease_session_confirmed_within(const mv_lease_session *session, const mv_clock *clock,
+                                       double lease_s)
 {
     return clock->now < MIN(session->confirmed_at, session->caught_up_to) + lease_s;
 }
--- a/src/coordination/foundation/lease_session.h
+++ b/src/coordination/foundation/lease_session.h
@@ -27,6 +27,6 @@
  * times: the last confirmation of the session, and the time up to which the state cache is
  * complete.
  */
-bool mv_lease_session_within(const mv_lease_session *session, const mv_clock *clock,
-                             double lease_s);
+bool mv_lease_session_confirmed_within(const mv_lease_session *session, const mv_clock *clock,
+                                       double lease_s);
 #endif
