--- a/src/constants.h
+++ b/src/constants.h
@@ -16,26 +16,24 @@
 #define MV_JOB_TASKS_MAX 100000
 /** Size of a key in the state service, in bytes with the final 0. */
 #define MV_KEY_SIZE 201
-/** Most commands in one response to a heartbeat; a body of 64 KiB holds about 700 commands. */
+/** Maximum number of commands in one response to a heartbeat; a body of 64 KiB holds about 700. */
 #define MV_RESPONSE_COMMANDS_MAX 400
 /**
  * The scheduler places at most this many tasks on a machine, because the machine's heartbeat, which
  * also lists exited tasks, must fit into 64 KiB.
  */
 #define MV_MACHINE_TASKS_MAX 300
-/** Most machines in one scale-out request to the cloud. */
+/** Maximum number of machines in one scale-out request to the cloud. */
 #define MV_INSTANCE_REQUEST_MAX 50
-/** Most machines in one scale-in request to the cloud. */
+/** Maximum number of machines in one scale-in request to the cloud. */
 #define MV_SCALE_IN_BATCH 100
 /** Machines on one page of the cloud's machine list. */
 #define MV_MACHINE_LIST_PAGE 500
 /** Records on one page of a list from the state service. */
 #define MV_STATE_STORE_PAGE 1000
-/** Most bytes of writes in a transaction: 64 KiB less the framing. */
+/** Maximum bytes of writes in a transaction: 64 KiB less the framing. */
 #define MV_TRANSACTION_BYTES_MAX 60000
-/**
- * Share by which the monotonic clock of one process may run faster than that of another process.
- */
+/** Share by which a monotonic clock may run fast against the clock of another process. */
 #define MV_CLOCK_DRIFT 0.0005
 
 /* --- Protocol: sizes of texts, in bytes with the final 0 --- */
@@ -54,13 +52,18 @@
  * its records did not contain the format number.
  */
 #define MV_FORMAT_CURRENT 2
-/** Most machine types that the service distinguishes: each type is one bit of a 32-bit mask. */
+/**
+ * Maximum number of machine types that the service distinguishes: each type is one bit of a 32-bit
+ * mask.
+ */
 #define MV_MACHINE_TYPES_MAX 32
 /** Shard numbers in records are below this value. */
 #define MV_SHARDS_MAX 100
 /** Segment numbers of a partition are below this value. */
 #define MV_SEGMENTS_MAX 10000
-/** Most machines in one segment of a partition: as many as one scale-out request can add. */
+/**
+ * Maximum number of machines in one segment of a partition: as many as one scale-out request adds.
+ */
 #define MV_SEGMENT_MACHINES_MAX 50
 /**
  * Bytes of a partition or occupancy record that stay free for the framing around the listed
@@ -76,7 +79,7 @@
 #define MV_SHARD_RECORD_BYTES 260
 /** Smallest limit for the writes of a transaction: with a lower limit no job could be completed. */
 #define MV_TRANSACTION_WRITES_MIN 4
-/** Most tasks in one completion record: the record has 4 KiB of hex digits. */
+/** Maximum number of tasks in one completion record: the record has 4 KiB of hex digits. */
 #define MV_CHUNK_TASKS_MAX 16384
 /**
  * Tasks in one completion record (512 bytes of hex digits) if a record of the larger size does not
@@ -152,9 +155,11 @@
 
 /* --- Membership: partitions and occupancy records --- */
 
-/** Most segments of a partition that one transaction writes; 64 KiB hold nine segments. */
+/**
+ * Maximum number of segments of a partition that one transaction writes; 64 KiB hold nine segments.
+ */
 #define MV_SEGMENTS_BATCH 7u
-/** Most segments whose occupancy the shard's owner records in one transaction. */
+/** Maximum number of segments whose occupancy the shard's owner records in one transaction. */
 #define MV_OCCUPANCY_BATCH 4
 /**
  * If a partition has more segments than one transaction records, the shard's owner waits this long
@@ -183,8 +188,8 @@
 /* --- Connectivity: link health --- */
 
 /**
- * Failed requests from which on a peer that never had a response from the state service counts as a
- * witness that the state service has failed.
+ * A peer that never had a response from the state service counts as a witness of the state
+ * service's failure after this many failed requests.
  */
 #define MV_WITNESS_FAILURES_MIN 2u
 /**
@@ -193,8 +198,8 @@
  */
 #define MV_WITNESS_UNANSWERED_S 1.4
 /**
- * A controller stops launching tasks after the state service has been unreachable for this long and
- * the controller suspects that it is isolated.
+ * A controller that suspects that it is isolated launches no more tasks after the state service has
+ * been unreachable for this long.
  */
 #define MV_SUSPECT_GRACE_S 0.6
 /**
@@ -227,13 +232,13 @@
  */
 #define MV_WITNESS_GAP_S 1.5
 /**
- * The link to a peer is down if the peer has sent no response for this long and
- * MV_PEER_LINK_FAILURES requests to the peer failed.
+ * The link to a peer is down if the peer has not responded for this long and MV_PEER_LINK_FAILURES
+ * requests in a row failed.
  */
 #define MV_PEER_LINK_TIMEOUT_S 3.0
 /**
- * The link to a peer is down if this many requests in a row failed and the peer has sent no
- * response for MV_PEER_LINK_TIMEOUT_S.
+ * The link to a peer is down if this many requests in a row failed and the peer has not responded
+ * for MV_PEER_LINK_TIMEOUT_S.
  */
 #define MV_PEER_LINK_FAILURES 3u
 /**
@@ -264,11 +269,11 @@
  */
 #define MV_COMPLETIONS_JOB_BYTES 128
 /**
- * Most bytes of memory for the unrecorded completions of all jobs; 100,000 tasks of one job take 16
- * KB.
+ * Maximum bytes of memory for the unrecorded completions of all jobs. A job with 100,000 completed
+ * tasks takes 16 KB.
  */
 #define MV_COMPLETIONS_BYTES_MAX (1024 * 1024)
-/** Most bytes of unrecorded completions in one link report. */
+/** Maximum bytes of unrecorded completions in one link report. */
 #define MV_COMPLETIONS_PUBLISHED_BYTES_MAX (64 * 1024)
 
 /* --- Controller --- */
@@ -357,8 +362,8 @@
  */
 #define MV_HEARTBEAT_TIMEOUT_INTERVALS 2.5
 /**
- * A shard with at least this many machines is large: one without any heartbeat for
- * MV_LARGE_SHARD_TIMEOUT_INTERVALS shows that its owner is isolated.
+ * A shard with at least this many machines is large. If no machine of a large shard sends a
+ * heartbeat for MV_LARGE_SHARD_TIMEOUT_INTERVALS, the shard's owner is considered isolated.
  */
 #define MV_LARGE_SHARD_MACHINES 20u
 /**
@@ -382,7 +387,7 @@
  * before this many heartbeat intervals.
  */
 #define MV_PARTITIONED_HEARTBEATS 10.0
-/** The leader probes at most this many machines that are in no partition at the same time. */
+/** The leader has at most this many probes in flight to machines that are in no partition. */
 #define MV_UNKNOWN_PROBES_MAX 400u
 /**
  * A probe of a machine that is in no partition expires after this long; the leader then probes the
@@ -399,7 +404,10 @@
 #define MV_SLOWDOWN_SAMPLES_MIN 3
 /** Weight of the latest task in the smoothed slowdown of a machine. */
 #define MV_SLOWDOWN_SMOOTHING 0.3
-/** Share of a machine's slowdown that is forgotten in a second; half is forgotten in about 30 s. */
+/**
+ * Share of a machine's slowdown above 1 that is forgotten in a second, so half of the slowdown is
+ * forgotten in about 30 s.
+ */
 #define MV_SLOWDOWN_DECAY_PER_S 0.025
 /**
  * The scheduler uses a machine last if the machine takes more than this many times the usual
@@ -414,8 +422,8 @@
 /* --- Agents: commands --- */
 
 /**
- * Most direct commands that are in flight or wait for a thread. While the limit is reached, new
- * commands for a machine are gathered into one later request.
+ * Maximum number of direct commands that are in flight or wait for a thread. While the limit is
+ * reached, new commands for a machine are gathered into one later request.
  */
 #define MV_COMMANDS_IN_FLIGHT_MAX 110u
 /**
@@ -478,8 +486,8 @@
 /** A controller writes the completion records of a job at most this often. */
 #define MV_FLUSH_INTERVAL_S 0.7
 /**
- * Most completion records in one transaction, so that part of the write rate stays free for other
- * writes.
+ * Maximum number of completion records in one transaction, so that part of the write rate stays
+ * free for other writes.
  */
 #define MV_FLUSH_BATCH 8
 /**
@@ -497,7 +505,7 @@
  * jobs.
  */
 #define MV_GARBAGE_COLLECTION_INTERVAL_S 1.0
-/** Most ended jobs in the cache of final states; each takes about 100 bytes. */
+/** Maximum number of ended jobs in the cache of final states; each takes about 100 bytes. */
 #define MV_FINAL_CACHE_JOBS 20000
 
 /* --- Scheduling: rounds --- */
@@ -512,8 +520,8 @@
 /** Longest pause between two scheduling rounds that pending tasks cause. */
 #define MV_ROUND_INTERVAL_MAX_S 0.5
 /**
- * The pause after a scheduling round is at least this for each machine that the round examined. An
- * examination takes 0.1 us, so rounds take 1.5% of a core.
+ * The pause after a scheduling round is at least this for each machine that the round examined.
+ * Examining a machine takes 0.1 us, so scheduling takes 1.5% of a core.
  */
 #define MV_ROUND_INTERVAL_PER_MACHINE_S 0.000006
 /**
@@ -612,12 +620,12 @@
  * services were announced with this size.
  */
 #define MV_RESERVE_IMAGE_GB 2.0
-/** Most slots of a partition that are reserved for replicas. */
+/** Maximum number of slots of a partition that are reserved for replicas. */
 #define MV_RESERVE_SLOTS_MAX 64
 
 /* --- Scheduling: defragmentation --- */
 
-/** Most machines that begin to drain in one defragmentation pass. */
+/** Maximum number of machines that begin to drain in one defragmentation pass. */
 #define MV_DRAIN_BATCH 8u
 /**
  * Machines are drained only if the machines that remain have free cores of at least this share of
@@ -634,7 +642,7 @@
  * checkpoint takes.
  */
 #define MV_MOVE_REMAINING_FACTOR 1.5
-/** Most tasks that one defragmentation pass examines for a move. */
+/** Maximum number of tasks that one defragmentation pass examines for a move. */
 #define MV_MOVE_BATCH 32u
 
 /* --- Autoscaling: demand and transferable machines --- */
@@ -650,8 +658,8 @@
  */
 #define MV_DEMAND_INTERVAL_PER_MACHINE_S 0.001
 /**
- * The leader ignores a shard's demand that is older than this, and an owner ignores older demand of
- * other shards.
+ * The leader ignores a shard's demand, and the machine states in the demand, after this time. An
+ * owner ignores older demand of other shards.
  */
 #define MV_DEMAND_TTL_S 4.0
 /** A machine that has been idle for this long may be transferred to another shard. */
@@ -684,11 +692,13 @@
  */
 #define MV_BOOT_TIMEOUT_FACTOR 3.0
 /**
- * Default of the idle time after which the cheapest kind of machine is scaled in; dearer machines
- * have a proportionally shorter time.
+ * Default of the idle time after which the cheapest kind of machine is scaled in; more expensive
+ * machines have a proportionally shorter time.
  */
 #define MV_IDLE_TIMEOUT_S 60.0
-/** No machine is scaled in before it has been idle for this long, however dear it is. */
+/**
+ * No machine is scaled in before it has been idle for this long, however expensive the machine is.
+ */
 #define MV_IDLE_TIMEOUT_MIN_S 10.0
 /**
  * The cloud charges at least this much time for a machine (see the protocol page), so a younger
@@ -716,8 +726,8 @@
 /* --- Storage: requests to the state service --- */
 
 /**
- * Most requests of users and transactions that one controller sends to the state service at the
- * same time.
+ * Maximum number of requests of users and transactions that one controller sends to the state
+ * service at the same time.
  */
 #define MV_STATE_STORE_THREADS 8
 /** The state service has this long to respond to a request. */
@@ -754,8 +764,8 @@
 /* --- Storage: write budget --- */
 
 /**
- * Share of the state service's write limit for completion records, divided among the controllers
- * that write them.
+ * If several controllers write completion records, this share of the state service's write limit is
+ * for completion records and is divided among those controllers.
  */
 #define MV_DEFERRABLE_WRITE_SHARE 0.4
 /**
@@ -773,7 +783,7 @@
 
 /* --- Transport: HTTP server --- */
 
-/** Most connections that wait to be accepted. */
+/** Maximum number of connections that wait to be accepted. */
 #define MV_HTTP_BACKLOG_CONNECTIONS 1024
 /** Share of all sockets for connections that agents and users open. */
 #define MV_HTTP_SOCKET_SHARE 0.74
@@ -818,7 +828,7 @@
  * limit of their own.
  */
 #define MV_RESPONSE_BYTES_MAX (8 * 1024 * 1024)
-/** Most connections that a thread keeps open to the machines of its command queue. */
+/** Maximum number of connections that a thread keeps open to the machines of its command queue. */
 #define MV_CLIENT_CONNECTIONS_MAX 60
 /** A thread keeps at least this many connections open, even if few sockets are available. */
 #define MV_CLIENT_CONNECTIONS_MIN 2
@@ -832,11 +842,11 @@
 /** A peer has this long to respond to a user's request that this controller has forwarded. */
 #define MV_FORWARD_TIMEOUT_MS 1500
 /**
- * Most bytes of a message between controllers; demand takes 87 bytes for each machine of a
+ * Maximum bytes of a message between controllers; demand takes 87 bytes for each machine of a
  * partition.
  */
 #define MV_FRAME_BYTES_MAX (1024 * 1024)
-/** Most connections from peers, including old connections that have not been closed yet. */
+/** Maximum number of connections from peers, including old connections that are not closed yet. */
 #define MV_PEER_CONNECTIONS_MAX 64
 
 /* --- Server: threads and timeouts --- */
@@ -857,8 +867,8 @@
 /** Threads for direct commands; each serves the machines of its own command queue. */
 #define MV_COMMAND_THREADS 24
 /**
- * Most additional threads for direct commands. The server starts one if machines that do not
- * respond hold up the other threads.
+ * Maximum number of additional threads for direct commands. The server starts one if machines that
+ * do not respond hold up the other threads.
  */
 #define MV_COMMAND_EXTRA_THREADS 72
 /**
--- a/src/coordination/foundation/context.h
+++ b/src/coordination/foundation/context.h
@@ -20,8 +20,8 @@
 
 /** Limits of the state store, halved when the state store rejects a transaction as too large. */
 typedef struct {
-    size_t value_bytes; /**< most bytes of a value, and of a transaction */
-    unsigned writes;    /**< most writes of a transaction */
+    size_t value_bytes; /**< maximum bytes of a value, and of a transaction */
+    unsigned writes;    /**< maximum number of writes of a transaction */
 } mv_store_limits;
 
 /** The shared state. The context owns everything except the settings. */
--- a/src/coordination/foundation/shard.h
+++ b/src/coordination/foundation/shard.h
@@ -63,7 +63,7 @@
                              the link of this controller is probably faulty */
     /* scheduling */
     double last_job_at;       /**< arrival of the latest job whose home is this shard */
-    mv_resources unknown_use; /**< within a scheduling round: the most that machines with unknown
+    mv_resources unknown_use; /**< within a scheduling round: maximum that machines with unknown
                                  tasks may use */
     uint32_t scarce_types; /**< within a scheduling round: machine types that are the only possible
                               type of some pending job */
