--- a/src/coordination/foundation/context.h
+++ b/src/coordination/foundation/context.h
@@ -42,9 +42,10 @@
 } mv_context;
 
 #ifdef MV_MUTATION_TESTING
-/** Returns whether a test runs this controller as the version before services; otherwise false. */
+/** Returns whether a test runs this controller as the version before services. */
 #define EMULATES_FORMAT_1(context) ((context)->emulates_format_1)
 #else
+/** The service never runs as the version before services. */
 #define EMULATES_FORMAT_1(context) ((void)(context), false)
 #endif
 
--- a/src/coordination/foundation/counters.h
+++ b/src/coordination/foundation/counters.h
@@ -3,8 +3,7 @@
 #define MV_COUNTERS_H
 #include "connectivity/link_report.h"
 
-/** Counts since the start of the process (uint64_t), and current numbers and states (the others).
- */
+/** The uint64_t fields count from the start of the process; the others are current values. */
 typedef struct {
     uint64_t rounds, placed, jobs_finished, requeued, preempted, task_failures, machines_rented,
         machines_released, shard_acquisitions, machines_moved, machines_examined, limits_reduced,
--- a/src/coordination/foundation/transaction_slot.c
+++ b/src/coordination/foundation/transaction_slot.c
@@ -7,9 +7,10 @@
  * one lengthens the queue: with 4,000 machines, the entry of a controller that had come back was
  * written only after 12 s.
  *
- * After the response, the slot stays busy until the state cache shows the result: until then the
- * next transaction would carry the old revisions and conflict too. The slot does not wait for the
- * time up to which the cache is complete, because a watch without events takes seconds. */
+ * After the response, the slot stays busy until the state cache shows the result, but at most for
+ * MV_CACHE_LAG_S: until then the next transaction would carry the old revisions and conflict too.
+ * The slot does not wait until the cache is known to be complete, because a watch without events
+ * takes seconds. */
 bool mv_transaction_slot_busy(mv_transaction_slot *slot, const mv_clock *clock)
 {
     if (slot->transaction_id && clock->now > slot->retry_at)
--- a/src/coordination/foundation/transaction_slot.h
+++ b/src/coordination/foundation/transaction_slot.h
@@ -3,7 +3,7 @@
  *
  * A slot is busy from the moment a transaction is sent until its response arrives, including the
  * time that the transaction waits in the queue and for the write budget. After the response, the
- * slot stays busy until the state cache shows the result.
+ * slot stays busy until the state cache shows the result, but at most for MV_CACHE_LAG_S.
  */
 #ifndef MV_TRANSACTION_SLOT_H
 #define MV_TRANSACTION_SLOT_H
