--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -13,7 +13,8 @@
 
 /* --- the end of a job --- */
 
-/* As many as there is room for; what is left goes with garbage collection. */
+/* Deletes as many completion records of the job as the transaction has room for. Garbage collection
+ * deletes the remaining ones. */
 static void delete_chunks(const mv_job_table *jobs, const mv_job *job, mv_action *transaction)
 {
     GHashTableIter iter;
@@ -27,8 +28,9 @@
     }
 }
 
-/* Carried out late without the precondition, it would write a second final answer over a
- * cancellation. */
+/* Requires that the job has no final record yet: without this precondition, a transaction that the
+ * state service carries out late would overwrite the final record of a cancellation, and the job
+ * would have two final results. */
 static void put_final_record(const mv_job_table *jobs, const mv_job *job, mv_action *transaction)
 {
     char key[MV_KEY_SIZE];
@@ -40,8 +42,9 @@
                        false);
 }
 
-/* One transaction completes a job: the live records go, the final one stays. Only the owner may,
- * and only while neither its grant nor the job's record has changed. */
+/* Ends a job with one transaction, which deletes the live records and writes the final record. Only
+ * the owner of the job's shard sends it, and it commits only if neither the shard's grant nor the
+ * job's record has changed. */
 static void complete_job(mv_job_table *jobs, mv_job *job)
 {
     char job_key[MV_KEY_SIZE], shard_key[MV_KEY_SIZE];
@@ -62,8 +65,10 @@
     job->last_flush_at = jobs->context->clock.now;
 }
 
-/* After a commit the removal of the record is on its way; what was too large waits as long.
- * Anything else is tried again. */
+/* After a commit, the job stays marked as completing until the state cache shows that its record is
+ * gone, at most for MV_JOB_END_RETRY_S. After a transaction that was too large, the job stays
+ * marked for MV_JOB_END_RETRY_S, so that the retry waits as long. After any other result, the
+ * transaction is sent again after MV_JOB_END_INTERVAL_S. */
 static void completion_answered(mv_job_table *jobs, mv_job *job, mv_transaction_result result)
 {
     g_hash_table_remove(jobs->completing, &job->completing_transaction);
@@ -84,7 +89,7 @@
         completion_answered(jobs, job, result);
 }
 
-/* Whether the end of a job was sent so long ago that it is sent again. */
+/* Whether the transaction that ends the job was sent so long ago that it has to be sent again. */
 static bool completion_is_lost(const mv_job_table *jobs, const mv_job *job)
 {
     bool queued = job->completing_transaction && !SAFETY_CHECK(QUEUED, false);
@@ -102,7 +107,8 @@
     return false;
 }
 
-/* Whatever a flush that failed left out is written again. */
+/* Marks the completion records whose tasks are done but not recorded, because a flush failed. They
+ * are written again with the next flush. */
 static void mark_unrecorded_chunks(mv_job *job)
 {
     for (unsigned i = 0; i < job->chunk_count; i++)
@@ -144,9 +150,9 @@
 
 /* --- completion records --- */
 
-/* A transaction of completion records as it grows. */
+/* A transaction that is filled with completion records of one shard. */
 typedef struct {
-    mv_action *transaction; /* NULL: nothing to write yet */
+    mv_action *transaction; /* NULL until the first record is added */
     const mv_shard *shard;
     unsigned writes;
     size_t bytes;
@@ -170,8 +176,9 @@
     mv_transaction_require(flush->transaction, job_key, job->revision);
     mv_chunk_format_name(job, chunk, name, sizeof name);
     g_snprintf(key, sizeof key, KEY_COMPLETION_PREFIX "%s/%s", job->spec.id, name);
-    /* Without this, one that had got no answer overwrote newer ones when it was carried out
-     * seconds later, and tasks recorded as done were unrecorded. */
+    /* Without this precondition, a transaction without an answer could be carried out seconds later
+     * and overwrite a newer completion record: tasks that were recorded as done were then not
+     * recorded any more. */
     if (!SAFETY_CHECK(COMPLETION_REVISION, false))
         mv_transaction_require(flush->transaction, key, mv_chunk_revision(job, name));
     GBytes *data = mv_chunk_pack(job, chunk);
@@ -186,7 +193,9 @@
 {
     unsigned max_writes = MIN(jobs->context->limits.writes, MV_FLUSH_BATCH);
     mv_job_layout_chunks(jobs->context, job);
-    /* Others tell users pending or running by the first record. */
+    /* The other controllers read from the job's first record whether the job is pending or running,
+     * and report that to users. So the record is written again when the first task starts or the
+     * last one stops. */
     bool begins_or_stops = !job->tasks_running || !job->recorded_running;
     if (job->tasks_running != job->recorded_running && begins_or_stops)
         job->chunk_dirty[0] = true;
@@ -199,7 +208,7 @@
     }
 }
 
-/* Many chunks of many jobs of one shard share a transaction. */
+/* Writes the changed completion records of all jobs of the shard in one transaction. */
 static void flush_shard(mv_job_table *jobs, const mv_shard *shard)
 {
     const mv_clock *clock = &jobs->context->clock;
@@ -242,9 +251,10 @@
     mv_transaction_delete(transaction, key);
 }
 
-/* Completion records of jobs that are over: their end had no room for them, or a controller of
- * format 1 did not know them. No such job can come again, and a precondition says that there is
- * none. */
+/* Deletes completion records of jobs that have ended. Such records remain if the transaction that
+ * ended the job had no room for their deletion, or if a controller of format 1, which does not know
+ * records of this chunk size, ended the job. A job that has ended is never created again; each
+ * deletion nevertheless requires that the job has no live record. */
 void mv_completions_collect_garbage(mv_job_table *jobs, uint64_t leader_revision)
 {
     mv_context *context = jobs->context;
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-/* Pauses after failures double up to 2 to this power, times MV_RETRY_BASE_S. */
+/* The pause after a failure is MV_RETRY_BASE_S times 2 to the power of the consecutive failures;
+ * the power is at most this. */
 #define BACKOFF_DOUBLINGS_MAX 6u
 
 static void free_job(gpointer data)
@@ -27,7 +28,8 @@
     jobs->completing = g_hash_table_new(g_int64_hash, g_int64_equal);
     jobs->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     jobs->estimates = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    /* Completion records carry revisions of their own. */
+    /* Each write of a completion record requires the record's own revision, so the next transaction
+     * need not wait until the state cache shows the previous one. */
     jobs->flush_transaction.cache_not_awaited = true;
     jobs->gc_transaction.cache_not_awaited = true;
     if (context->settings->operator_settings.launch_gate)
@@ -54,7 +56,7 @@
     return objective->kind == kind && strcmp(objective->class_name, job->spec.class_name) == 0;
 }
 
-/* What the objectives ask for jobs of this class, looked up once. */
+/* Copies the objectives of the job's class into the job, so that they are looked up only once. */
 static void apply_objectives(const mv_settings *settings, mv_job *job)
 {
     double due_s = job->spec.deadline_s < 0 ? G_MAXDOUBLE : job->spec.deadline_s;
@@ -66,7 +68,7 @@
         if (mv_objective_applies(objective, MV_OBJECTIVE_WAIT, job))
             job->start_objective_s = MIN(job->start_objective_s, objective->within_s);
     }
-    /* Headroom within a quota is for work that comes and goes. */
+    /* A service is not latency-sensitive: the headroom within a quota is kept for jobs that end. */
     job->latency_sensitive = job->start_objective_s < G_MAXDOUBLE && !job->spec.service;
     if (job->spec.service)
         job->start_objective_s = MIN(job->start_objective_s, MV_SERVICE_START_OBJECTIVE_S);
@@ -143,7 +145,8 @@
     }
 }
 
-/* Kept until the record shows, whoever owns the job meanwhile. */
+/* Keeps the completion in memory until the state cache shows its record, also while another
+ * controller owns the job. */
 static void remember_completion(const mv_job_table *jobs, const mv_job *job, uint32_t task)
 {
     if (jobs->unrecorded && !mv_completions_add(jobs->unrecorded, job->spec.id, task))
@@ -155,8 +158,8 @@
     mv_task_state state = job->task_states[task];
     if (state == MV_TASK_STATE_DONE || state == MV_TASK_STATE_RECORDED)
         return;
-    /* A copy still placed elsewhere would go on for nothing: its machine's next heartbeat stops
-     * it. */
+    /* A copy of the task may still be placed on another machine. That copy is useless now; the next
+     * heartbeat of that machine stops it. */
     if (state == MV_TASK_STATE_PENDING)
         mv_job_task_not_pending(job, task);
     job->task_states[task] = MV_TASK_STATE_DONE;
@@ -207,9 +210,11 @@
     return job->type_mask;
 }
 
-/* Least work first makes large jobs late, and without end while small ones keep coming. So a job of
- * which nothing has run yet precedes its equals after a while, and everything after a longer one,
- * until its first task is placed: one task of one job at a time, so guarantees lose no more. */
+/* The scheduler places the job with the least pending work first, so a large job would wait for as
+ * long as small jobs keep arriving. Therefore a job of which no task has been placed precedes jobs
+ * of the same guarantee and priority after MV_STARVED_AFTER_S, and all jobs after
+ * MV_STARVED_SEVERELY_AFTER_S. This ends when its first task is placed, so that guaranteed work
+ * gives way to one task of one job at a time and to no more. */
 unsigned mv_job_starvation_level(const mv_context *context, const mv_job *job)
 {
     double age_s = context->clock.now - job->accepted_at;
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -1,124 +1,144 @@
 /**
  * Live jobs and the states of their tasks.
  *
- * A job is made when its record shows in the state cache and goes when the record does. Its tasks
- * are PENDING, PLACED on a machine, DONE as a machine reported, and RECORDED once the completion
- * shows in the state cache. The counts of a job always agree with the states of its tasks.
+ * A job is created when its record appears in the state cache, and removed when the record
+ * disappears. A task is PENDING until the scheduler places it, PLACED while it is on a machine,
+ * DONE when a machine or a peer has reported its completion, and RECORDED when the state cache
+ * shows the completion. The task counts of a job always agree with the states of its tasks.
  */
 #ifndef MV_JOB_H
 #define MV_JOB_H
 #include "connectivity/completions.h"
 #include "coordination/foundation/context.h"
 
-/** The state of a task; see above. */
+/** The state of a task. */
 typedef enum {
-    MV_TASK_STATE_PENDING, /**< may be placed */
-    MV_TASK_STATE_PLACED,  /**< on a machine, or perhaps on its way there */
-    MV_TASK_STATE_DONE,    /**< completed, not recorded yet */
-    MV_TASK_STATE_RECORDED /**< completed and recorded */
+    MV_TASK_STATE_PENDING, /**< the task may be placed */
+    MV_TASK_STATE_PLACED,  /**< the task is on a machine, or its launch may be in flight */
+    MV_TASK_STATE_DONE,    /**< the task has completed; its completion is not recorded yet */
+    MV_TASK_STATE_RECORDED /**< the task has completed, and its completion is recorded */
 } mv_task_state;
 
 /**
- * A live job. Owned by the table; placements refer to it, and no longer once it is removed. Times
- * are steady seconds, also `accepted_at`, which its record has as wall time.
+ * A live job, owned by the job table. Placements point to the job; the caller clears these pointers
+ * before it removes the job. Times are steady seconds; this includes `accepted_at`, which the job's
+ * record holds as wall time.
  */
 typedef struct {
     mv_job_spec spec;
     uint64_t revision;
     double accepted_at;
-    mv_team *team;         /**< NULL: the settings have no such team */
-    mv_shard *home_shard;  /**< named in its record: who owns that shard owns the job */
-    unsigned image;        /**< number of its image */
-    GArray *tasks_in_zone; /**< unsigned: its tasks placed in each zone, by number */
-    uint32_t type_mask;    /**< machine types that allow it; valid while type_mask_source is the
-                              catalog's list */
+    mv_team *team;         /**< the job's team; NULL if the settings do not name it */
+    mv_shard *home_shard;  /**< the shard named in the job's record; its owner owns the job */
+    unsigned image;        /**< number of the job's image within this process */
+    GArray *tasks_in_zone; /**< unsigned; number of the job's placed tasks, indexed by zone */
+    uint32_t type_mask;    /**< one bit for each machine type that can run the job's tasks; valid
+                              while type_mask_source is the catalog's list of types */
     const GArray *type_mask_source;
-    /* objectives of its class */
-    bool latency_sensitive;   /**< its class has an objective for the start */
-    double start_objective_s; /**< that objective; G_MAXDOUBLE: none */
-    double deadline_at;       /**< deadline or the objective of its class, whichever is sooner */
+    /* objectives of the job's class */
+    bool latency_sensitive;   /**< the class has a start objective, and the job is no service */
+    double start_objective_s; /**< within this time the job should start; G_MAXDOUBLE: no limit */
+    double deadline_at;       /**< the job's own deadline or that of its class, the earlier one */
     /* tasks */
-    uint8_t *task_states;  /**< mv_task_state of each */
-    GArray *pending;       /**< uint32_t task numbers, last first */
-    double ready_at;       /**< when its oldest pending task became ready */
-    double last_placed_at; /**< when one of its tasks was last placed */
+    uint8_t *task_states; /**< the mv_task_state of each task */
+    GArray *pending;      /**< uint32_t; numbers of the pending tasks; the scheduler places the last
+                             entry first */
+    double ready_at;      /**< when the oldest pending task became ready */
+    double last_placed_at; /**< when a task of the job was last placed */
     unsigned tasks_done, tasks_recorded, tasks_placed, tasks_running;
-    unsigned failures; /**< in a row */
+    unsigned failures; /**< consecutive failures of the job's tasks */
     double backoff_until;
-    double runtime_sum_s; /**< of its completed tasks */
+    double runtime_sum_s; /**< total run time of the `runtime_samples` completed tasks measured */
     unsigned runtime_samples;
     /* records */
-    unsigned tasks_per_chunk; /**< in each of its completion records, as we write them */
+    unsigned tasks_per_chunk; /**< tasks in each completion record that this controller writes */
     unsigned chunk_count;
-    bool *chunk_dirty;
-    GHashTable *chunk_revisions; /**< what is behind its id in a key -> revision: all its completion
-                                    records */
-    bool completing;
-    uint64_t completing_transaction; /**< 0: none under way */
+    bool *chunk_dirty;           /**< for each completion record: whether it has to be written */
+    GHashTable *chunk_revisions; /**< chunk name, as in the record's key, -> revision; holds every
+                                    completion record of the job */
+    bool completing; /**< the transaction that ends the job was sent, and may still be in effect */
+    uint64_t completing_transaction; /**< the transaction that ends the job; 0: none in flight */
     double last_flush_at;
-    unsigned recorded_running; /**< how many run, as its completion record says */
-    /* set anew in each scheduling round */
-    bool guaranteed; /**< within its team's quota guarantee */
-    bool deadline_unreachable;
-    bool counted_in_usual_size;
-    unsigned starvation_level;   /**< 1: precedes its equals, 2: precedes all */
-    double pending_core_seconds; /**< estimated work of its pending tasks */
-    double next_preemption_at;
+    unsigned recorded_running; /**< number of running tasks according to a completion record */
+    /* written by the scheduler in its rounds */
+    bool guaranteed;             /**< the job is within the quota guarantee of its team */
+    bool deadline_unreachable;   /**< a task started now would end after the deadline */
+    bool counted_in_usual_size;  /**< the team's latency_sensitive_job_cores include the job */
+    unsigned starvation_level;   /**< 1: precedes jobs of the same priority, 2: precedes all jobs */
+    double pending_core_seconds; /**< estimated work of the pending tasks */
+    double next_preemption_at;   /**< before this time, no task is preempted for the job */
 } mv_job;
 
 /** All live jobs. */
 typedef struct {
     mv_context *context;
-    GHashTable *by_id;           /**< id -> mv_job, owned */
-    GHashTable *orphaned_chunks; /**< completion records without a job -> revision */
-    GHashTable *completing;      /**< id of a transaction that completes a job -> mv_job */
-    GHashTable *images;          /**< image -> number */
-    GHashTable *estimates;       /**< class -> mv_runtime_estimate */
+    GHashTable *by_id;           /**< job id -> mv_job, owned */
+    GHashTable *orphaned_chunks; /**< "job id/chunk name" -> revision, for completion records
+                                    without a live job */
+    GHashTable *completing;      /**< id of a transaction that ends a job -> mv_job, not owned */
+    GHashTable *images;          /**< image name -> its number within this process */
+    GHashTable *estimates;       /**< class name -> runtime estimate of the class */
     mv_transaction_slot flush_transaction, gc_transaction;
-    mv_unrecorded_completions *unrecorded; /**< NULL: the launch gate is off */
+    mv_unrecorded_completions *unrecorded; /**< NULL if the launch gate is off */
 } mv_job_table;
 
 /**
- * Initialises a table without jobs. `context` is borrowed and must outlive it; call
- * mv_job_table_clear at the end.
+ * Initialises a table without jobs. `context` is borrowed and must outlive the table. The caller
+ * releases the table's contents with mv_job_table_clear.
  */
 void mv_job_table_init(mv_job_table *jobs, mv_context *context);
-/** Frees all jobs and what is remembered of records; not `jobs` itself. */
+/** Frees all jobs and the table's record state, but not `jobs` itself. */
 void mv_job_table_clear(mv_job_table *jobs);
-/** The live job of that id, or NULL. */
+/** Returns the live job with this id, or NULL. */
 mv_job *mv_job_table_find(const mv_job_table *jobs, const char *id);
-/** Adds a job; takes what `spec` owns. `accepted_at`: wall time. */
+/**
+ * Adds a job and returns it. The job takes over everything that `spec` owns. `accepted_at` is wall
+ * time in seconds.
+ */
 mv_job *mv_job_add(mv_job_table *jobs, const mv_job_spec *spec, unsigned home_shard,
                    double accepted_at, uint64_t revision);
-/** Removes a job whose record is gone. No placement may refer to it any more. */
+/** Removes a job whose record is gone. No placement may point to the job any more. */
 void mv_job_remove(mv_job_table *jobs, mv_job *job);
-/** Forgets what is placed: all that is not done is pending, until heartbeats show what runs. */
+/**
+ * Discards what is known of the job's placements: every task that is not done becomes pending.
+ * Heartbeats then show which tasks are running.
+ */
 void mv_job_reset(const mv_context *context, mv_job *job);
 
-/** Whether this process may act for the job. */
+/** Returns whether this controller owns the job's shard, and so may act for the job. */
 bool mv_job_is_owned(const mv_context *context, const mv_job *job);
-/** One task more, or less, in a zone. */
+/** Adds `change` (1 or -1) to the number of the job's placed tasks in a zone. */
 void mv_job_count_in_zone(mv_job *job, unsigned zone, int change);
-/** Takes a task off the pending ones, if it is among them. */
+/** Removes a task from the list of pending tasks; does nothing if the task is not listed. */
 void mv_job_task_not_pending(mv_job *job, uint32_t task);
-/** A task completed, as a machine or a peer says; nothing happens if that was known. */
+/**
+ * Marks a task as done after a machine or a peer has reported its completion. Does nothing if the
+ * task is already done.
+ */
 void mv_job_task_completed(mv_job_table *jobs, mv_job *job, uint32_t task);
-/** The completion of a task shows in the state cache. */
+/** Marks a task as recorded after its completion has appeared in the state cache. */
 void mv_job_task_recorded(mv_job_table *jobs, mv_job *job, uint32_t task);
-/** A placed task is pending again. */
+/** Makes a placed task pending again. */
 void mv_job_task_requeue(mv_context *context, mv_job *job, uint32_t task);
-/** After a failure its tasks wait; longer with each in a row. */
+/**
+ * Delays the placement of the job's tasks after a failure. The delay doubles with each consecutive
+ * failure, up to MV_RETRY_MAX_S.
+ */
 void mv_job_back_off(const mv_context *context, mv_job *job);
 
-/** The machine types on which its tasks may run. */
+/** Returns the machine types that can run the job's tasks, one bit for each type. */
 uint32_t mv_job_type_mask(const mv_context *context, mv_job *job);
-/** Whether an objective of that kind is set for the job's class. */
+/** Returns whether `objective` is of this kind and is set for the job's class. */
 bool mv_objective_applies(const mv_objective *objective, mv_objective_kind kind, const mv_job *job);
-/** How far a job of which nothing has run precedes others: 0, 1 its equals, 2 all. */
+/**
+ * Returns the precedence that a job gets for its age while none of its tasks has been placed: 0
+ * none, 1 over jobs of the same guarantee and priority, 2 over all jobs.
+ */
 unsigned mv_job_starvation_level(const mv_context *context, const mv_job *job);
 /**
- * None of its tasks found a place for so long that whatever is reserved for others gives way: no
- * job may be left waiting while there is capacity.
+ * Returns whether the job has pending tasks and none of its tasks was placed for
+ * MV_STARVATION_TIMEOUT_S. Capacity that is reserved for other jobs is then available to this job,
+ * because no job may be left waiting while there is capacity.
  */
 bool mv_job_is_starving(const mv_context *context, const mv_job *job);
 #endif
--- a/src/coordination/jobs/job_records.c
+++ b/src/coordination/jobs/job_records.c
@@ -5,11 +5,11 @@
 
 #include <string.h>
 
-/* Bytes of a completion record but for its digits. */
+/* Bytes of a completion record without its digits. */
 #define COMPLETION_RECORD_FRAME 48
-/* A hex digit tells of so many tasks. */
+/* Tasks that one hex digit of a completion record covers: one bit for each task. */
 #define TASKS_PER_DIGIT 4
-/* Bytes of the number of a chunk in its name, with the final 0. */
+/* Bytes of the chunk number in a chunk's name, including the terminating NUL. */
 #define CHUNK_NUMBER_SIZE 16
 
 /* --- jobs --- */
@@ -42,7 +42,8 @@
     mv_job_layout_chunks(jobs->context, job);
 }
 
-/* Completion records that were not removed along with the job's are left to garbage collection. */
+/* Remembers the completion records that still exist after the job's record was deleted, so that
+ * garbage collection deletes them. */
 static void orphan_chunks(mv_job_table *jobs, const mv_job *job)
 {
     GHashTableIter iter;
@@ -62,8 +63,8 @@
 
 /* --- chunks --- */
 
-/* As always while all of a job's digits, at most those of MV_CHUNK_TASKS_MAX, fit a value;
- * otherwise few. A controller of format 1 knows only the first kind. */
+/* Returns MV_CHUNK_TASKS_MAX if the digits of the job's largest chunk fit a value of the state
+ * service, otherwise MV_CHUNK_TASKS_SMALL. A controller of format 1 knows only the former size. */
 static unsigned choose_tasks_per_chunk(const mv_context *context, const mv_job *job)
 {
     double digits = MIN(job->spec.tasks, MV_CHUNK_TASKS_MAX) / (double)TASKS_PER_DIGIT;
--- a/src/coordination/jobs/runtime_estimator.c
+++ b/src/coordination/jobs/runtime_estimator.c
@@ -1,12 +1,13 @@
 #include "coordination/jobs/runtime_estimator.h"
 
-/* Beyond these, a run time against its estimate says more of the task than of its class. */
+/* Bounds of the ratio of a run time to its estimate. A ratio outside these bounds is a property of
+ * the single task rather than of its class, so it is clamped. */
 #define RATIO_MIN 0.05
 #define RATIO_MAX 20
 
-/* Of a class of jobs. */
+/* The runtime estimate of a class of jobs. */
 typedef struct {
-    double ratio; /* run time over estimate, smoothed */
+    double ratio; /* smoothed ratio of the run time to the submitter's estimate */
     unsigned samples;
 } runtime_estimate;
 
