--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -93,8 +93,8 @@
 static bool completion_is_lost(const mv_job_table *jobs, const mv_job *job)
 {
     bool queued = job->completing_transaction && !SAFETY_CHECK(QUEUED, false);
-    double patience_s = queued ? MV_TRANSACTION_LOST_S : MV_JOB_END_RETRY_S;
-    return jobs->context->clock.now > job->last_flush_at + patience_s;
+    double timeout_s = queued ? MV_TRANSACTION_LOST_S : MV_JOB_END_RETRY_S;
+    return jobs->context->clock.now > job->last_flush_at + timeout_s;
 }
 
 static bool chunk_has_unrecorded_task(const mv_job *job, unsigned chunk)
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -226,7 +226,7 @@
 
 bool mv_job_is_starving(const mv_context *context, const mv_job *job)
 {
-    double waits_since = MAX(job->ready_at, job->last_placed_at);
-    bool recent = context->clock.now <= waits_since + MV_STARVATION_TIMEOUT_S;
+    double waiting_since = MAX(job->ready_at, job->last_placed_at);
+    bool recent = context->clock.now <= waiting_since + MV_STARVATION_TIMEOUT_S;
     return job->pending->len && !SAFETY_CHECK(STARVATION_TIMEOUT, recent);
 }
