--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -1,9 +1,11 @@
 /**
- * The controller: who leads, who owns which machines and teams, what runs where.
+ * The controller: elects the leader, grants shards of machines and teams to their owners, and
+ * places tasks on machines.
  *
- * Pure: every call brings the time (steady seconds) and an event, and what is to be done is fetched
- * with mv_controller_next_action. No call blocks, reads a clock or touches a socket. One lock
- * outside guards it; the server's (src/server/server.h).
+ * Pure code: each call passes the time (`now`, steady seconds) and an event to the controller, and
+ * the caller fetches the resulting actions with mv_controller_next_action. No call blocks, reads a
+ * clock or uses a socket. The controller is not thread-safe: the server guards it with one lock
+ * (src/server/shared_controller.h).
  */
 #ifndef MV_CONTROLLER_H
 #define MV_CONTROLLER_H
@@ -16,173 +18,221 @@
 
 typedef struct mv_controller mv_controller;
 
-/** `settings` must outlive the controller. */
+/**
+ * Creates a controller, which the caller frees with mv_controller_free. `settings` is borrowed and
+ * must outlive the controller.
+ */
 mv_controller *mv_controller_new(const mv_settings *settings);
-/** Frees the controller with the actions that were not fetched; NULL is allowed. */
+/** Frees the controller and the actions that were not fetched from it. NULL is allowed. */
 void mv_controller_free(mv_controller *controller);
 
-/** The next thing to do, owned by the caller (mv_action_free), or NULL. */
+/** Returns the next action, or NULL. The caller frees the action with mv_action_free. */
 mv_action *mv_controller_next_action(mv_controller *controller);
 /**
- * Whether an action that was decided earlier still stands. Asked right before it is carried out:
- * the process may have stood still since, longer than all its leases.
+ * Returns whether an action that was decided earlier may still be carried out. The server calls
+ * this immediately before it carries the action out, because the process may have been suspended
+ * since the decision for longer than its leases last.
  */
 bool mv_controller_action_is_valid(mv_controller *controller, double now, const mv_action *action);
 
-/** Time: steady seconds, and the time of day. */
+/**
+ * Advances the controller to `now` (steady seconds) and `wall_now` (wall time in seconds), and runs
+ * all periodic work. The server calls this every MV_TICK_S.
+ */
 void mv_controller_tick(mv_controller *controller, double now, double wall_now);
 
-/* --- the session at the state store --- */
+/* --- the session at the state service --- */
 
 /**
- * Our session: confirmed by a request sent at `sent`; lost when incarnation is 0. The incarnation
- * names this process for good.
+ * Handles an answer of the state service about this controller's session. The session is confirmed
+ * by a request that was sent at `sent`; an incarnation of 0 means that the session is lost. The
+ * incarnation identifies this process for its whole lifetime.
  */
 void mv_controller_session_renewed(mv_controller *controller, double now, uint64_t incarnation,
                                    double sent);
-/** A renewal of the session got no answer, or a refusal. */
+/** Handles a renewal of the session that was not answered or was refused. */
 void mv_controller_session_renewal_failed(mv_controller *controller, double now);
 
 /* --- the state cache --- */
 
 /**
- * A live record, first all of them, then every change in order. `data` NULL: the record went.
+ * Applies a live record of the state service to the state cache. The caller first passes all
+ * records and then every change in order. `data` NULL means that the record was deleted.
  */
 void mv_controller_record_changed(mv_controller *controller, double now, const char *key,
                                   GBytes *data, uint64_t revision);
-/** The first list of all records is complete. */
+/** Marks the state cache as loaded: the caller has passed a complete list of all records. */
 void mv_controller_cache_loaded(mv_controller *controller, double now);
-/** The cache holds every change made before `sent`. */
+/** Handles the answer to a watch sent at `sent`: the cache holds every change made before then. */
 void mv_controller_watch_caught_up(mv_controller *controller, double now, double sent);
 /**
- * All records are about to be listed anew, in pages of different times. What the pages do not show
- * together holds only once a watch that was sent after the last page has been answered.
+ * Prepares the state cache for a new list of all records. The pages of the list are read at
+ * different times, so a record that is in none of them may exist nevertheless. Its absence counts
+ * only after the answer to a watch that was sent after the last page.
  */
 void mv_controller_relist_started(mv_controller *controller, double now);
 
 /* --- heartbeats --- */
 
-/** The answer to a worker's heartbeat; which fields count depends on the status. */
+/** The response to a worker's heartbeat. The status determines which of the fields are set. */
 typedef struct {
-    int status;                     /**< 200, 421 or 503 */
-    uint64_t fencing_token;         /**< with 200 */
-    GArray *commands;               /**< with 200; mv_command, owned by the caller */
-    char redirect_to[MV_NAME_SIZE]; /**< with 421; may be empty */
+    int status;                     /**< HTTP status: 200, 421 or 503 */
+    uint64_t fencing_token;         /**< set with status 200 */
+    GArray *commands;               /**< set with status 200; mv_command, owned by the caller */
+    char redirect_to[MV_NAME_SIZE]; /**< set with status 421: a controller's name, or empty */
 } mv_heartbeat_response;
 
-/** A worker's heartbeat, and the answer to it. */
+/** Handles a worker's heartbeat and fills in the response to it. */
 void mv_controller_heartbeat(mv_controller *controller, double now, const mv_heartbeat *heartbeat,
                              mv_heartbeat_response *response);
 
 /* --- answers to actions, by their ids --- */
 
-/** A command that was not valid any more and was not sent. */
+/** Handles a command that was not sent because it was no longer valid. */
 void mv_controller_command_dropped(mv_controller *controller, double now, uint64_t id);
-/** How a command ended: an HTTP status with the worker's heartbeat, or 0 without an answer. */
+/**
+ * Handles the end of a command. `status` is the HTTP status of the worker's answer, or 0 if there
+ * was none; `heartbeat` is the heartbeat in that answer, or NULL.
+ */
 void mv_controller_command_completed(mv_controller *controller, double now, uint64_t id, int status,
                                      const mv_heartbeat *heartbeat);
 /**
- * How a transaction ended. With MV_TRANSACTION_TOO_LARGE values and transactions get smaller from
- * then on. An id that is not awaited any more changes nothing else.
+ * Handles the result of a transaction. After MV_TRANSACTION_TOO_LARGE, the controller halves its
+ * limits for values and transactions. A result for a transaction that the controller no longer
+ * awaits has no other effect.
  */
 void mv_controller_transaction_completed(mv_controller *controller, double now, uint64_t id,
                                          mv_transaction_result result);
-/** `machines` (char *) NULL: refused for want of capacity (`refused`) or no answer. */
+/**
+ * Handles the answer to a scale-out request. `machines` holds the names (char *) of the granted
+ * machines. It is NULL if the cloud refused the request for lack of capacity (`refused` is true) or
+ * did not answer (`refused` is false).
+ */
 void mv_controller_scale_out_completed(mv_controller *controller, double now, uint64_t id,
                                        const GPtrArray *machines, bool refused);
 /**
- * Whether the cloud took the machines back; `ok` is false also without an answer. Then those that
- * still have a reason to go are asked for again.
+ * Handles the answer to a scale-in request. `ok` is true if the cloud took the machines back, and
+ * false if the cloud refused or did not answer. After a failure, the leader requests the scale-in
+ * of those machines again that still have a reason to be released.
  */
 void mv_controller_scale_in_completed(mv_controller *controller, double now, uint64_t id, bool ok);
-/** A page of the machine list, mv_listed_machine; NULL: the request failed. */
+/**
+ * Handles a page of the cloud's machine list. `listed` holds mv_listed_machine, or is NULL if the
+ * request failed. `more` is true if another page follows.
+ */
 void mv_controller_machines_listed(mv_controller *controller, double now, uint64_t id,
                                    const GArray *listed, bool more);
-/** Machine types, mv_machine_type; takes the list. NULL: the request failed. */
+/**
+ * Handles the cloud's list of machine types. The controller takes over `types`, which holds
+ * mv_machine_type; NULL means that the request failed.
+ */
 void mv_controller_types_listed(mv_controller *controller, double now, GArray *types);
 
 /* --- demand --- */
 
-/** An owner's demand, for the leader, who takes it; returns what the other shards need. */
+/**
+ * Handles the demand that the owner of a shard sent to the leader. The controller takes over
+ * `demand`. Returns the demand of the other shards, which is empty if this controller is not the
+ * leader.
+ */
 mv_peer_demand mv_controller_shard_demand(mv_controller *controller, double now,
                                           mv_shard_demand *demand);
-/** What the leader's answer to our demand said. */
+/** Handles the leader's answer to the demand that this controller published. */
 void mv_controller_peer_demand(mv_controller *controller, double now, mv_peer_demand peer_demand);
 
 /* --- link health reports, exchanged with every other controller --- */
 
-/** Whether link reports are published at all. */
+/** Returns whether this controller publishes link reports: it does if the launch gate is on. */
 bool mv_controller_publishes_link_reports(const mv_controller *controller);
-/** Seconds until the next; only where they are published. */
+/**
+ * Returns the seconds until the next link report is due. Call this only if link reports are
+ * published.
+ */
 double mv_controller_link_report_interval(const mv_controller *controller);
-/** Our report of our links, with completions that we cannot record. Owned by the caller. */
+/**
+ * Returns a report on this controller's links, with completions that this controller cannot record.
+ * The caller owns the report. Call this only if link reports are published.
+ */
 mv_link_report *mv_controller_link_report(mv_controller *controller, double now);
-/** A peer's report, as a message of its own or in answer to ours. */
+/** Handles a peer's link report, which came as a request or in a response to this controller. */
 void mv_controller_link_report_received(mv_controller *controller, double now,
                                         const mv_link_report *report);
-/** A request to a peer, sent at `sent`, was answered or not. */
+/** Records whether a peer answered a request that was sent at `sent`. */
 void mv_controller_peer_probed(mv_controller *controller, double now, const char *peer, double sent,
                                bool answered);
 
-/* --- questions about jobs --- */
+/* --- queries about jobs --- */
 
 /** Whether a job could ever run on the machines that the cloud offers. */
 typedef enum {
     MV_FIT_POSSIBLE,
-    MV_FIT_IMPOSSIBLE, /**< no machine type takes a task, or its team's limit is too low */
-    MV_FIT_UNKNOWN     /**< machine types are not known yet */
+    MV_FIT_IMPOSSIBLE, /**< no machine type can hold a task, or the team's limit is too low */
+    MV_FIT_UNKNOWN     /**< the controller does not know the machine types yet */
 } mv_fit_result;
 
-/** Whether a job can run at all. */
+/** Returns whether a job could ever run within its team's limit and on the cloud's machine types.
+ */
 mv_fit_result mv_controller_job_fits(const mv_controller *controller, const mv_job_spec *spec);
 /**
- * Drops types that do not exist from a job's list where its record would be too large; false: it is
- * too large all the same.
+ * If the job's record would be too large, removes duplicate and nonexistent machine types from the
+ * job's list. Returns false if no type remains or the record is still too large.
  */
 bool mv_controller_trim_job_record(const mv_controller *controller, mv_job_spec *spec);
-/** Which shard a job accepted now belongs to; false: not known yet. */
+/**
+ * Sets `shard` to the shard that a job accepted now would belong to. Returns false if that shard is
+ * not known yet.
+ */
 bool mv_controller_home_shard(const mv_controller *controller, const mv_job_spec *spec,
                               unsigned *shard);
 
-/** Progress of a job, as its live record and this controller's state cache have it. */
+/** Progress of a job according to this controller's state cache. */
 typedef struct {
-    bool active; /**< a live record is known here */
-    bool owned;  /**< by this controller */
+    bool active; /**< the state cache holds a live record of the job; else all fields are 0 */
+    bool owned;  /**< this controller owns the job */
     uint64_t revision;
     unsigned tasks, tasks_done, tasks_running;
     unsigned chunk_count;
 } mv_job_summary;
 
-/** What is known here of a job; not proof against newer records elsewhere. */
+/**
+ * Fills in what this controller knows of a job. The state service may already hold newer records of
+ * the job.
+ */
 void mv_controller_job_status(const mv_controller *controller, const char *id,
                               mv_job_summary *summary);
 
-/* --- other questions --- */
+/* --- other queries --- */
 
-/** Whether the state cache is loaded and our session is certainly alive. */
+/** Returns whether the state cache is loaded and this controller's session is certainly alive. */
 bool mv_controller_state_reachable(const mv_controller *controller, double now);
-/** Whether there was a session at all. */
+/** Returns whether this process has ever had a session at the state service. */
 bool mv_controller_has_session(const mv_controller *controller);
-/** Whether the state cache is loaded and machine types are known. */
+/** Returns whether the state cache is loaded and the machine types are known. */
 bool mv_controller_is_ready(const mv_controller *controller);
-/** The records are known, and every shard has an owner that lives. */
+/** Returns whether the state cache is loaded and the owner of every shard is alive. */
 bool mv_controller_is_stable(const mv_controller *controller);
-/** Whether this controller is the leader and its session is certainly alive. */
+/** Returns whether this controller is the leader and its session is certainly alive. */
 bool mv_controller_is_leader(const mv_controller *controller);
-/** Whether every controller is known to read services: before, none is accepted. */
+/**
+ * Returns whether every controller is known to read records of the current format, which includes
+ * services. Until then, no service is accepted.
+ */
 bool mv_controller_all_formats_current(const mv_controller *controller);
-/** The state cache holds every change made before this time. */
+/** Returns the time, in steady seconds, before which the state cache holds every change. */
 double mv_controller_caught_up_to(const mv_controller *controller);
-/** How many controllers own shards. */
+/** Returns the number of controllers that own shards. */
 unsigned mv_controller_owner_count(const mv_controller *controller);
-/** How many jobs are live. */
+/** Returns the number of live jobs. */
 unsigned mv_controller_job_count(const mv_controller *controller);
-/** Puts and deletes that a transaction may hold. */
+/** Returns the number of puts and deletes that a transaction may hold. */
 unsigned mv_controller_max_writes(const mv_controller *controller);
-/** The state store called something too large: from now on half of it. */
+/**
+ * Halves the limits for values and transactions. The server calls this after the state service has
+ * refused a request as too large.
+ */
 void mv_controller_reduce_limits(mv_controller *controller);
-/** The picture for people: a MessagePack map, owned by the caller. */
+/** Returns the overview for operators, a MessagePack map; the caller owns it. */
 GBytes *mv_controller_overview(const mv_controller *controller, double now);
-/** Copies the counters for metrics, with the present numbers counted anew. */
+/** Copies the counters for metrics, and recomputes those that are present numbers. */
 void mv_controller_get_counters(const mv_controller *controller, mv_controller_counters *counters);
 #endif
--- a/src/coordination/controller/controller.c
+++ b/src/coordination/controller/controller.c
@@ -1,5 +1,6 @@
 /**
- * The life and the time of a controller, and events that concern one module each.
+ * Creates and frees a controller, runs its modules at each tick, and passes events that concern a
+ * single module to that module.
  */
 #include "coordination/controller/controller_internal.h"
 
@@ -18,7 +19,7 @@
 #include "coordination/scheduling/round.h"
 #include "coordination/scheduling/services.h"
 
-/* --- life --- */
+/* --- creation --- */
 
 mv_controller *mv_controller_new(const mv_settings *settings)
 {
--- a/src/coordination/controller/controller_internal.h
+++ b/src/coordination/controller/controller_internal.h
@@ -1,6 +1,6 @@
 /**
- * The controller as a composition of its modules. Only the files of this folder, which hand each
- * event to one module, and tests include this.
+ * The controller as a composition of its modules. Only tests and the files of this folder, which
+ * pass each event to one module, include this header.
  */
 #ifndef MV_CONTROLLER_INTERNAL_H
 #define MV_CONTROLLER_INTERNAL_H
@@ -8,8 +8,8 @@
 #include "coordination/controller.h"
 
 /**
- * The modules, lower ones first: each has pointers to modules above it in this list only. They are
- * initialised in this order and cleared in the reverse one.
+ * The modules, the lowest one first. Each module has pointers only to modules that precede it in
+ * this list. The modules are initialised in this order and cleared in the reverse order.
  */
 struct mv_controller {
     mv_context context;
@@ -21,10 +21,16 @@
     mv_autoscaler autoscaler;
 };
 
-/** Judges the links by the present time; where launches are allowed anew, commands go out. */
+/**
+ * Classifies this controller's links as of the present time. If launches become allowed, requests
+ * commands to the machines whose launches were held. Does nothing if the launch gate is off.
+ */
 void mv_link_monitor_update(mv_controller *controller);
-/** The same, and records whether heartbeats arrive. */
+/**
+ * Records whether heartbeats of this controller's machines arrive, then calls
+ * mv_link_monitor_update. Does nothing if the launch gate is off.
+ */
 void mv_link_monitor_tick(mv_controller *controller);
-/** After an event: runs a scheduling round if one is due, and sends commands. */
+/** Runs a scheduling round if one is due, then sends commands. Called after each event. */
 void mv_controller_run_due_work(mv_controller *controller);
 #endif
--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -1,6 +1,6 @@
 /**
- * Heartbeats and answers of commands as they reach a controller, and whether what was decided
- * earlier still holds.
+ * Handles the heartbeats of workers and the answers to commands, and decides whether an action that
+ * was decided earlier may still be carried out.
  */
 #include "coordination/controller/controller_internal.h"
 
@@ -15,7 +15,8 @@
 
 /* --- heartbeats --- */
 
-/* `node` NULL: to whichever comes next. */
+/* Answers that another controller has to handle the heartbeat. With `node` NULL, the response names
+ * no controller, and the worker tries the next one. */
 static void redirect(const char *node, mv_heartbeat_response *response)
 {
     response->status = MV_HTTP_STATUS_MISDIRECTED;
@@ -27,7 +28,8 @@
     return strcmp(node, controller->context.settings->node_name) != 0;
 }
 
-/* A machine in no partition: the leader finds out whether it is there. */
+/* Answers the heartbeat of a machine that is in no partition. The leader probes the machine to find
+ * out whether it exists; any other controller redirects the worker to the leader. */
 static void answer_unknown_machine(mv_controller *controller, const mv_heartbeat *heartbeat,
                                    mv_heartbeat_response *response)
 {
@@ -42,7 +44,8 @@
     redirect(other_leads ? membership->leader.node : NULL, response);
 }
 
-/* An owner that is gone would only cost the worker another refusal. */
+/* Redirects the worker to the owner of the shard. If the owner is gone, the response names no
+ * controller, because a redirect to the owner would cost the worker another refused request. */
 static void redirect_to_owner(const mv_controller *controller, const mv_shard *shard,
                               mv_heartbeat_response *response)
 {
@@ -75,13 +78,13 @@
     response->fencing_token = mv_machine_fencing_token(machine);
     response->commands = mv_command_list_new();
     mv_heartbeat_order order = mv_heartbeat_compare(machine, heartbeat);
-    if (order == MV_HEARTBEAT_STALE) { /* a late copy, and its response will be dropped */
+    if (order == MV_HEARTBEAT_STALE) { /* a late copy; the worker drops the response to it */
         mv_context_count_stale(context, "report", machine->id);
         return;
     }
     machine->lease_renewed_at = context->clock.now;
     mv_heartbeat_apply(&controller->agents, machine, heartbeat, order, response->commands);
-    /* What does not fit the response follows from the next heartbeat. */
+    /* Commands that do not fit the response are left out; the next heartbeat brings them again. */
     if (response->commands->len > MV_RESPONSE_COMMANDS_MAX)
         g_array_set_size(response->commands, MV_RESPONSE_COMMANDS_MAX);
     mv_controller_run_due_work(controller);
@@ -118,7 +121,8 @@
     const mv_machine *machine = mv_commands_find(&controller->agents, action->id);
     if (machine)
         return mv_command_is_valid(&controller->agents, machine, action);
-    /* A probe of a machine in no partition, or an earlier term's command. */
+    /* No machine has this command in flight, so it is either a probe of a machine in no partition,
+     * which only the leader may send, or a command from an earlier term, which is not valid. */
     return mv_membership_is_leader(&controller->membership) &&
            mv_adoption_is_probe(&controller->autoscaler, action->id);
 }
@@ -162,7 +166,8 @@
     return false;
 }
 
-/* The worker's heartbeat after it carried a command out, or refused it as a whole. */
+/* Applies the worker's answer to a command: its heartbeat after it carried the command out or, with
+ * `refused`, after it refused the whole command. A refused launch is sent again. */
 static void apply_command_answer(mv_controller *controller, mv_machine *machine, bool refused,
                                  const mv_heartbeat *heartbeat)
 {
--- a/src/coordination/controller/job_admission.c
+++ b/src/coordination/controller/job_admission.c
@@ -1,4 +1,7 @@
-/** Questions about jobs: whether they can run at all, where they belong, and how far they are. */
+/**
+ * Answers queries about jobs: whether a submitted job can run at all, which shard it belongs to,
+ * and the progress of an accepted job.
+ */
 #include "coordination/controller/controller_internal.h"
 
 #include <string.h>
@@ -7,7 +10,7 @@
 
 static bool is_within_quota(const mv_team_settings *team, const mv_job_spec *spec)
 {
-    /* All replicas of a service run at once; of other jobs one task at least. */
+    /* All replicas of a service run at once. Of any other job, at least one task has to fit. */
     const double at_once = spec->service ? spec->tasks : 1;
     bool cores_fit =
         team->cpus_max <= 0 || at_once * spec->cores <= team->cpus_max + MV_RESOURCE_EPSILON;
@@ -65,8 +68,9 @@
     return team->cpus > 0 || team->cpus_max > 0 || team->gpus > 0 || team->gpus_max > 0;
 }
 
-/* A team's limit and guarantee are one owner's to keep, so its jobs all go to its shard. Jobs of a
- * team that has neither spread over all shards, as no sum binds them. */
+/* All jobs of a team with a limit or a guarantee belong to the team's home shard, because a single
+ * owner has to enforce both. The jobs of a team with neither are spread over all shards by their
+ * ids, because no total over the team's jobs has to be kept. */
 bool mv_controller_home_shard(const mv_controller *controller, const mv_job_spec *spec,
                               unsigned *shard)
 {
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -1,19 +1,22 @@
 /**
- * A controller's links to others: what happens on them is passed to the connectivity package, and
- * what follows is asked of it. Without the operators' `launch_gate` all of this does nothing.
+ * Monitors this controller's links to the state service, to the other controllers and to its
+ * machines. Passes each observation to the connectivity package, and acts on the link class and the
+ * launch scope that the package derives. Does nothing unless the operators set `launch_gate`.
  */
 #include "coordination/controller/controller_internal.h"
 
 #include "coordination/agents/machine.h"
 #include "telemetry/log.h"
 
-/* Wall time in this unit names a process: two of one controller never begin within the same
- * microsecond. */
+/* The wall time of the first tick, in microseconds, identifies a process to its peers: two
+ * processes of one controller never start within the same microsecond. */
 #define BOOT_UNITS_PER_S 1e6
 
-/* --- what is observed --- */
+/* --- observations --- */
 
-/* Whether heartbeats of an owned shard are due by now. */
+/* Returns whether this controller should be receiving heartbeats from the machines of a shard: it
+ * owns the shard, a machine of the shard has sent a heartbeat before, and this controller has
+ * listened for longer than MV_RESIGN_AFTER_S. */
 static bool should_report(const mv_context *context, const mv_shard *shard)
 {
     if (!mv_shard_is_owned(context, shard) || shard->machine_count == 0 ||
@@ -23,7 +26,9 @@
     return context->clock.now > listening_since + MV_RESIGN_AFTER_S;
 }
 
-/* Machines of our shards with a heartbeat under our terms, and the time of the last one. */
+/* Tells the connectivity package whether heartbeats are expected from the machines of this
+ * controller's shards, and when the last one under the terms of these shards arrived. None is
+ * expected while this process is overloaded, because heartbeats may then lie unread. */
 static void observe_workers(mv_controller *controller)
 {
     const mv_context *context = &controller->context;
@@ -56,7 +61,7 @@
         mv_connectivity_peer_probed(controller->launch_control.connectivity, peer, sent, answered);
 }
 
-/* --- what follows --- */
+/* --- consequences of a change --- */
 
 static const char *scope_name(mv_launch_scope scope)
 {
@@ -66,8 +71,10 @@
     return NAMES[scope];
 }
 
-/* A state store that answers slowly changes the class every few seconds: that is summed up. What
- * may be launched is always logged. */
+/* Logs a change of the link class or of the launch scope. If the state service answers slowly, the
+ * class changes every few seconds, so changes of the class alone are logged once in
+ * MV_LOG_REPEAT_INTERVAL_S, with the number of suppressed lines. Every change of the scope is
+ * logged. */
 static void log_link_change(const mv_controller *controller, mv_link_change change)
 {
     const mv_connectivity *connectivity = controller->launch_control.connectivity;
@@ -83,7 +90,8 @@
                 mv_completions_count(controller->jobs.unrecorded));
 }
 
-/* Machines whose launches were held get them now rather than with their next heartbeat. */
+/* Requests a command to each machine whose launches were held, so that the machine need not wait
+ * for the response to its next heartbeat. */
 static void send_held_launches(mv_controller *controller)
 {
     mv_agents *agents = &controller->agents;
@@ -138,7 +146,8 @@
                                             controller->context.clock.now);
 }
 
-/* We cannot write it: the job is another's, or nothing can be written from here. */
+/* Returns whether this controller cannot write the completion records of a job, because another
+ * controller owns the job or because the state service is out of reach. */
 static bool cannot_record(void *context, const char *job_id)
 {
     const mv_controller *controller = context;
@@ -184,16 +193,19 @@
     }
 }
 
-/* That a task is done stays true whoever says it, and whichever of two owners writes it first: the
- * record is conditional on the grant, and the same once more changes nothing. */
+/* Marks as done the tasks that a peer reports as completed. A completed task stays completed,
+ * whichever controller reports it. If two controllers both act as owner, it does not matter which
+ * of them writes the completion first: each write requires the shard's grant, and writing the same
+ * completion again changes nothing. */
 static void adopt_completions(mv_controller *controller, const mv_link_report *report)
 {
     for (guint i = 0; i < report->completions->len; i++)
         adopt_completion_set(controller, g_ptr_array_index(report->completions, i));
 }
 
-/* Reports from before a restart are ordinary; what cannot be read or comes from nodes that the
- * settings do not name is not. */
+/* Returns whether a report was rejected because it cannot be parsed or comes from a node that the
+ * settings do not name. Both are faults, whereas reports that a peer sent before it restarted are
+ * normal. */
 static bool is_foreign(mv_link_report_status status)
 {
     return status == MV_LINK_REPORT_MALFORMED || status == MV_LINK_REPORT_UNKNOWN_NODE;
--- a/src/coordination/controller/overview.c
+++ b/src/coordination/controller/overview.c
@@ -1,4 +1,4 @@
-/** The picture of the deployment for people. */
+/** Builds the overview of the deployment that operators read (GET /overview). */
 #include "coordination/controller/controller_internal.h"
 
 #include "protocol/names.h"
@@ -48,8 +48,8 @@
     write_link(writer, &row);
 }
 
-/* This controller first, then the others as their link reports say; none where these are not
- * published. */
+/* Writes the links of this controller, then those of each peer according to its last link report.
+ * If link reports are not published, writes an empty list. */
 static void write_links(const mv_controller *controller, mv_writer *writer, double now)
 {
     const mv_connectivity *connectivity = controller->launch_control.connectivity;
@@ -71,7 +71,7 @@
     GHashTableIter iter;
     gpointer value;
     mv_write_bool_field(writer, "all_new", mv_membership_formats_are_current(membership));
-    mv_write_text(writer, "formats"); /* of the controllers, in their order */
+    mv_write_text(writer, "formats"); /* one for each controller, in the order of "controllers" */
     mv_write_list(writer, g_hash_table_size(membership->nodes));
     g_hash_table_iter_init(&iter, membership->nodes);
     while (g_hash_table_iter_next(&iter, NULL, &value))
--- a/src/coordination/controller/queries.c
+++ b/src/coordination/controller/queries.c
@@ -1,4 +1,4 @@
-/** Questions about the state of a controller. */
+/** Answers queries about the state of a controller. */
 #include "coordination/controller/controller_internal.h"
 
 bool mv_controller_state_reachable(const mv_controller *controller, double now)
--- a/src/coordination/controller/record_dispatch.c
+++ b/src/coordination/controller/record_dispatch.c
@@ -1,5 +1,5 @@
 /**
- * Records of the state store as they reach a controller: each goes to the module whose key it has.
+ * Passes each record that the state service reports to the module that its key belongs to.
  */
 #include "coordination/controller/controller_internal.h"
 
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-/* Bytes of the number of a shard as text, with the final 0. */
+/* Bytes of a shard number as text, including the terminating NUL. */
 #define SHARD_NUMBER_SIZE 16
 
 /* --- keys --- */
@@ -25,14 +25,15 @@
     return true;
 }
 
-/* A prefix and the number of a shard. */
+/* Parses a key that consists of a prefix and a shard number. */
 static bool parse_shard_key(const char *key, const char *prefix, unsigned *shard)
 {
     return g_str_has_prefix(key, prefix) &&
            parse_number(key + strlen(prefix), MV_SHARDS_MAX, shard);
 }
 
-/* A prefix, the number of a shard, a slash and the number of a segment of its partition. */
+/* Parses a key that consists of a prefix, a shard number, a slash and the number of a segment of
+ * the shard's partition. */
 static bool parse_segment_key(const char *key, const char *prefix, unsigned *shard,
                               unsigned *segment)
 {
@@ -50,7 +51,7 @@
            parse_number(slash + 1, MV_SEGMENTS_MAX, segment);
 }
 
-/* What follows the prefix in a key, or NULL. */
+/* Returns the part of the key after the prefix, or NULL if the key has another prefix. */
 static const char *after_prefix(const char *key, const char *prefix)
 {
     return g_str_has_prefix(key, prefix) ? key + strlen(prefix) : NULL;
