--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -133,9 +133,10 @@
     mv_link_monitor_update(controller);
     if (action->kind == MV_ACTION_COMMAND)
         return SAFETY_CHECK(ACTION_VALID, command_is_valid(controller, action));
-    bool is_leaders = action->kind == MV_ACTION_SCALE_OUT || action->kind == MV_ACTION_SCALE_IN;
+    bool is_leader_action =
+        action->kind == MV_ACTION_SCALE_OUT || action->kind == MV_ACTION_SCALE_IN;
     return SAFETY_CHECK(ACTION_VALID,
-                        !is_leaders || mv_membership_is_leader(&controller->membership));
+                        !is_leader_action || mv_membership_is_leader(&controller->membership));
 }
 
 void mv_controller_command_dropped(mv_controller *controller, double now, uint64_t id)
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -206,7 +206,7 @@
 /* Returns whether a report was rejected because it cannot be parsed or comes from a node that the
  * settings do not name. Both are faults, whereas reports that a peer sent before it restarted are
  * normal. */
-static bool is_foreign(mv_link_report_status status)
+static bool is_invalid_report(mv_link_report_status status)
 {
     return status == MV_LINK_REPORT_MALFORMED || status == MV_LINK_REPORT_UNKNOWN_NODE;
 }
@@ -220,7 +220,7 @@
         [MV_LINK_REPORT_UNCONFIRMED] = "unconfirmed",
     };
     controller->context.counters.link_reports_rejected++;
-    mv_log_limited(is_foreign(status) ? MV_LOG_INFO : MV_LOG_DEBUG, "link_report_rejected",
+    mv_log_limited(is_invalid_report(status) ? MV_LOG_INFO : MV_LOG_DEBUG, "link_report_rejected",
                    "from=%s reason=%s", report->node, REASONS[status]);
 }
 
@@ -240,7 +240,7 @@
     } else {
         reject_link_report(controller, report, status);
     }
-    if (!is_foreign(status))
+    if (!is_invalid_report(status))
         adopt_completions(controller, report);
     mv_controller_run_due_work(controller);
 }
