--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -170,8 +170,7 @@
     MV_FIT_UNKNOWN     /**< the controller does not know the machine types yet */
 } mv_fit_result;
 
-/** Returns whether a job could ever run within its team's limit and on the cloud's machine types.
- */
+/** Returns whether a job could ever run, given its team's limit and the cloud's machine types. */
 mv_fit_result mv_controller_job_fits(const mv_controller *controller, const mv_job_spec *spec);
 /**
  * If the job's record would be too large, removes duplicate and nonexistent machine types from the
--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -78,13 +78,15 @@
     response->fencing_token = mv_machine_fencing_token(machine);
     response->commands = mv_command_list_new();
     mv_heartbeat_order order = mv_heartbeat_compare(machine, heartbeat);
-    if (order == MV_HEARTBEAT_STALE) { /* a late copy; the worker drops the response to it */
+    if (order == MV_HEARTBEAT_STALE) {
+        /* The heartbeat is a late copy of an earlier one; the worker drops the response to it. */
         mv_context_count_stale(context, "report", machine->id);
         return;
     }
     machine->lease_renewed_at = context->clock.now;
     mv_heartbeat_apply(&controller->agents, machine, heartbeat, order, response->commands);
-    /* Commands that do not fit the response are left out; the next heartbeat brings them again. */
+    /* Commands that do not fit the response are dropped; the worker's next heartbeat makes this
+     * controller collect them again. */
     if (response->commands->len > MV_RESPONSE_COMMANDS_MAX)
         g_array_set_size(response->commands, MV_RESPONSE_COMMANDS_MAX);
     mv_controller_run_due_work(controller);
--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -28,9 +28,9 @@
     }
 }
 
-/* Requires that the job has no final record yet: without this precondition, a transaction that the
- * state service carries out late would overwrite the final record of a cancellation, and the job
- * would have two final results. */
+/* Adds the job's final record to the transaction, on condition that the job has none yet. Without
+ * this precondition, a transaction that the state service carries out late would overwrite the
+ * final record of a cancellation, and users would get two different final answers. */
 static void put_final_record(const mv_job_table *jobs, const mv_job *job, mv_action *transaction)
 {
     char key[MV_KEY_SIZE];
@@ -89,7 +89,8 @@
         completion_answered(jobs, job, result);
 }
 
-/* Whether the transaction that ends the job was sent so long ago that it has to be sent again. */
+/* Returns whether the transaction that ends the job was sent so long ago that it has to be sent
+ * again. */
 static bool completion_is_lost(const mv_job_table *jobs, const mv_job *job)
 {
     bool queued = job->completing_transaction && !SAFETY_CHECK(QUEUED, false);
@@ -176,9 +177,9 @@
     mv_transaction_require(flush->transaction, job_key, job->revision);
     mv_chunk_format_name(job, chunk, name, sizeof name);
     g_snprintf(key, sizeof key, KEY_COMPLETION_PREFIX "%s/%s", job->spec.id, name);
-    /* Without this precondition, a transaction without an answer could be carried out seconds later
-     * and overwrite a newer completion record: tasks that were recorded as done were then not
-     * recorded any more. */
+    /* Without this precondition, the state service could carry out an unanswered transaction
+     * seconds late and overwrite a newer completion record, so that tasks recorded as done would no
+     * longer be recorded. */
     if (!SAFETY_CHECK(COMPLETION_REVISION, false))
         mv_transaction_require(flush->transaction, key, mv_chunk_revision(job, name));
     GBytes *data = mv_chunk_pack(job, chunk);
@@ -193,9 +194,9 @@
 {
     unsigned max_writes = MIN(jobs->context->limits.writes, MV_FLUSH_BATCH);
     mv_job_layout_chunks(jobs->context, job);
-    /* The other controllers read from the job's first record whether the job is pending or running,
-     * and report that to users. So the record is written again when the first task starts or the
-     * last one stops. */
+    /* The other controllers read from the job's first completion record whether the job is pending
+     * or running, and report that to users. Therefore the owner writes this record again when the
+     * first task starts or the last one stops. */
     bool begins_or_stops = !job->tasks_running || !job->recorded_running;
     if (job->tasks_running != job->recorded_running && begins_or_stops)
         job->chunk_dirty[0] = true;
@@ -253,8 +254,8 @@
 
 /* Deletes completion records of jobs that have ended. Such records remain if the transaction that
  * ended the job had no room for their deletion, or if a controller of format 1, which does not know
- * records of this chunk size, ended the job. A job that has ended is never created again; each
- * deletion nevertheless requires that the job has no live record. */
+ * records of this chunk size, ended the job. A job that has ended is never created again; the
+ * transaction nevertheless requires that none of these jobs has a live record. */
 void mv_completions_collect_garbage(mv_job_table *jobs, uint64_t leader_revision)
 {
     mv_context *context = jobs->context;
--- a/src/coordination/jobs/completion_writer.h
+++ b/src/coordination/jobs/completion_writer.h
@@ -16,8 +16,8 @@
 /** Writes the changed completion records of the jobs of owned shards. */
 void mv_completions_flush(mv_job_table *jobs);
 /**
- * Deletes completion records of jobs that have ended. Only the leader calls this;
- * `leader_revision` is the revision of its leader record.
+ * Deletes completion records of jobs that have ended. Only the leader's controller calls this;
+ * `leader_revision` is the revision of the leader record.
  */
 void mv_completions_collect_garbage(mv_job_table *jobs, uint64_t leader_revision);
 /**
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* The pause after a failure is MV_RETRY_BASE_S times 2 to the power of the consecutive failures;
- * the power is at most this. */
+/* The pause after a failure is MV_RETRY_BASE_S times 2 to the power of n, where n is the number of
+ * consecutive failures, but at most this number. */
 #define BACKOFF_DOUBLINGS_MAX 6u
 
 static void free_job(gpointer data)
@@ -68,7 +68,8 @@
         if (mv_objective_applies(objective, MV_OBJECTIVE_WAIT, job))
             job->start_objective_s = MIN(job->start_objective_s, objective->within_s);
     }
-    /* A service is not latency-sensitive: the headroom within a quota is kept for jobs that end. */
+    /* A service never counts as latency-sensitive, because the headroom that a team keeps free in
+     * its quota for latency-sensitive work is meant for jobs that end. */
     job->latency_sensitive = job->start_objective_s < G_MAXDOUBLE && !job->spec.service;
     if (job->spec.service)
         job->start_objective_s = MIN(job->start_objective_s, MV_SERVICE_START_OBJECTIVE_S);
@@ -158,8 +159,8 @@
     mv_task_state state = job->task_states[task];
     if (state == MV_TASK_STATE_DONE || state == MV_TASK_STATE_RECORDED)
         return;
-    /* A copy of the task may still be placed on another machine. That copy is useless now; the next
-     * heartbeat of that machine stops it. */
+    /* A copy of the task may still be placed on another machine. That copy is useless now, and the
+     * controller stops it in the response to that machine's next heartbeat. */
     if (state == MV_TASK_STATE_PENDING)
         mv_job_task_not_pending(job, task);
     job->task_states[task] = MV_TASK_STATE_DONE;
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -56,7 +56,7 @@
     bool *chunk_dirty;           /**< for each completion record: whether it has to be written */
     GHashTable *chunk_revisions; /**< chunk name, as in the record's key, -> revision; holds every
                                     completion record of the job */
-    bool completing; /**< the transaction that ends the job was sent, and may still be in effect */
+    bool completing; /**< the transaction that ends the job was sent and is not repeated yet */
     uint64_t completing_transaction; /**< the transaction that ends the job; 0: none in flight */
     double last_flush_at;
     unsigned recorded_running; /**< number of running tasks according to a completion record */
@@ -64,7 +64,8 @@
     bool guaranteed;             /**< the job is within the quota guarantee of its team */
     bool deadline_unreachable;   /**< a task started now would end after the deadline */
     bool counted_in_usual_size;  /**< the team's latency_sensitive_job_cores include the job */
-    unsigned starvation_level;   /**< 1: precedes jobs of the same priority, 2: precedes all jobs */
+    unsigned starvation_level;   /**< precedence for the job's age: 0 none, 1 over jobs of the same
+                                    guarantee and priority, 2 over all jobs */
     double pending_core_seconds; /**< estimated work of the pending tasks */
     double next_preemption_at;   /**< before this time, no task is preempted for the job */
 } mv_job;
--- a/src/coordination/jobs/job_records.h
+++ b/src/coordination/jobs/job_records.h
@@ -1,7 +1,6 @@
 /**
  * Records of jobs in the state service, as the state cache shows them. An accepted job has one job
- * record and, once tasks have completed, completion records. Each completion record covers one
- * chunk of the job's tasks.
+ * record and a set of completion records, each of which covers one chunk of the job's tasks.
  */
 #ifndef MV_JOB_RECORDS_H
 #define MV_JOB_RECORDS_H
