--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -131,9 +131,9 @@
 /* --- demand --- */
 
 /**
- * Handles the demand that the owner of a shard sent to the leader. The controller takes over
- * `demand`. Returns the demand of the other shards, which is empty if this controller is not the
- * leader.
+ * Handles the demand that the owner of a shard sent to this controller as the leader, and takes
+ * over `demand`. Returns the demand of the other shards, or an empty demand if this controller is
+ * not the leader or the shard is not granted to that owner.
  */
 mv_peer_demand mv_controller_shard_demand(mv_controller *controller, double now,
                                           mv_shard_demand *demand);
@@ -142,7 +142,7 @@
 
 /* --- link health reports, exchanged with every other controller --- */
 
-/** Returns whether this controller publishes link reports: it does if the launch gate is on. */
+/** Returns whether this controller publishes link reports, which requires the launch gate. */
 bool mv_controller_publishes_link_reports(const mv_controller *controller);
 /**
  * Returns the seconds until the next link report is due. Call this only if link reports are
--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -29,7 +29,8 @@
 }
 
 /* Answers the heartbeat of a machine that is in no partition. The leader probes the machine to find
- * out whether it exists; any other controller redirects the worker to the leader. */
+ * out whether the machine exists. Any other controller redirects the worker to the leader, if there
+ * is one. */
 static void answer_unknown_machine(mv_controller *controller, const mv_heartbeat *heartbeat,
                                    mv_heartbeat_response *response)
 {
@@ -123,8 +124,8 @@
     const mv_machine *machine = mv_commands_find(&controller->agents, action->id);
     if (machine)
         return mv_command_is_valid(&controller->agents, machine, action);
-    /* No machine has this command in flight, so it is either a probe of a machine in no partition,
-     * which only the leader may send, or a command from an earlier term, which is not valid. */
+    /* No known machine has this command in flight, so the command is either a probe of a machine in
+     * no partition, which only the leader may send, or from an earlier term and no longer valid. */
     return mv_membership_is_leader(&controller->membership) &&
            mv_adoption_is_probe(&controller->autoscaler, action->id);
 }
@@ -169,8 +170,9 @@
     return false;
 }
 
-/* Applies the worker's answer to a command: its heartbeat after it carried the command out or, with
- * `refused`, after it refused the whole command. A refused launch is sent again. */
+/* Applies the heartbeat with which a worker answered a command, after the worker carried the
+ * command out or, if `refused` is true, refused the whole command. Refused launches are sent again.
+ */
 static void apply_command_answer(mv_controller *controller, mv_machine *machine, bool refused,
                                  const mv_heartbeat *heartbeat)
 {
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -14,9 +14,9 @@
 
 /* --- observations --- */
 
-/* Returns whether this controller should be receiving heartbeats from the machines of a shard: it
- * owns the shard, a machine of the shard has sent a heartbeat before, and this controller has
- * listened for longer than MV_RESIGN_AFTER_S. */
+/* Returns whether this controller should be receiving heartbeats from the machines of a shard: this
+ * controller owns the shard, a machine of the shard has sent a heartbeat before, and this
+ * controller has accepted heartbeats for longer than MV_RESIGN_AFTER_S. */
 static bool should_report(const mv_context *context, const mv_shard *shard)
 {
     if (!mv_shard_is_owned(context, shard) || shard->machine_count == 0 ||
@@ -194,9 +194,9 @@
 }
 
 /* Marks as done the tasks that a peer reports as completed. A completed task stays completed,
- * whichever controller reports it. If two controllers both act as owner, it does not matter which
- * of them writes the completion first: each write requires the shard's grant, and writing the same
- * completion again changes nothing. */
+ * whichever controller reports the completion. If two controllers both act as the job's owner,
+ * either of them may write the completion first: each write requires the shard's grant, and writing
+ * the same completion again changes nothing. */
 static void adopt_completions(mv_controller *controller, const mv_link_report *report)
 {
     for (guint i = 0; i < report->completions->len; i++)
--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -43,8 +43,8 @@
 }
 
 /* Ends a job with one transaction, which deletes the live records and writes the final record. Only
- * the owner of the job's shard sends it, and it commits only if neither the shard's grant nor the
- * job's record has changed. */
+ * the owner of the job's shard sends the transaction. The state service commits the transaction
+ * only if neither the shard's grant nor the job's record has changed. */
 static void complete_job(mv_job_table *jobs, mv_job *job)
 {
     char job_key[MV_KEY_SIZE], shard_key[MV_KEY_SIZE];
@@ -65,9 +65,9 @@
     job->last_flush_at = jobs->context->clock.now;
 }
 
-/* After a commit, the job stays marked as completing until the state cache shows that its record is
- * gone, at most for MV_JOB_END_RETRY_S. After a transaction that was too large, the job stays
- * marked for MV_JOB_END_RETRY_S, so that the retry waits as long. After any other result, the
+/* After a commit, the job stays marked as completing until the state cache shows that the job's
+ * record is gone, at most for MV_JOB_END_RETRY_S. After a transaction that was too large, the job
+ * stays marked for MV_JOB_END_RETRY_S, so that the retry waits as long. After any other result, the
  * transaction is sent again after MV_JOB_END_INTERVAL_S. */
 static void completion_answered(mv_job_table *jobs, mv_job *job, mv_transaction_result result)
 {
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -214,8 +214,8 @@
 /* The scheduler places the job with the least pending work first, so a large job would wait for as
  * long as small jobs keep arriving. Therefore a job of which no task has been placed precedes jobs
  * of the same guarantee and priority after MV_STARVED_AFTER_S, and all jobs after
- * MV_STARVED_SEVERELY_AFTER_S. This ends when its first task is placed, so that guaranteed work
- * gives way to one task of one job at a time and to no more. */
+ * MV_STARVED_SEVERELY_AFTER_S. The precedence ends when the job's first task is placed, so that
+ * guaranteed work gives way to one task of one job at a time and to no more. */
 unsigned mv_job_starvation_level(const mv_context *context, const mv_job *job)
 {
     double age_s = context->clock.now - job->accepted_at;
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -1,7 +1,7 @@
 /**
  * Live jobs and the states of their tasks.
  *
- * A job is created when its record appears in the state cache, and removed when the record
+ * A job is created when the job's record appears in the state cache, and removed when the record
  * disappears. A task is PENDING until the scheduler places it, PLACED while it is on a machine,
  * DONE when a machine or a peer has reported its completion, and RECORDED when the state cache
  * shows the completion. The task counts of a job always agree with the states of its tasks.
