--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -9,13 +9,13 @@
 
 #include <stdlib.h>
 
-/* The part of an attempt that counts within one term. */
+/* The low bits of an attempt number: the counter of placements within one term. */
 #define ATTEMPT_COUNTER_MASK ((1u << MV_ATTEMPT_BITS) - 1)
 
 typedef struct {
     mv_machine *machine;
     mv_placement_score score;
-    guint turn; /* places after the one whose turn it is */
+    guint turn; /* places in the rotation between the machine that is next and this machine */
 } scored_machine;
 
 /* --- one machine --- */
@@ -56,8 +56,9 @@
     return compare_turns(left, right);
 }
 
-/* Machines with room for a task of the job, best first; `cached` tells whether any machine at all,
- * with room or without, has its image. */
+/* Returns the machines with room for a task of the job, best first; the caller frees the array.
+ * Sets `*cached` to whether any machine that the job allows and that is not draining has the job's
+ * image, with room or without. */
 static GArray *score_machines(mv_scheduler *scheduler, mv_job *job, bool *cached)
 {
     const mv_context *context = scheduler->context;
@@ -68,7 +69,8 @@
         mv_machine *machine = g_ptr_array_index(schedulable, i);
         if (machine->shard != job->home_shard || !mv_job_allows_machine(context, job, machine))
             continue;
-        /* A drained machine is used last: no task waits for room on it. */
+        /* The image on a draining machine does not count: a draining machine is used last, so no
+         * task waits for room on it. */
         bool counts = !machine->draining && mv_machine_has_image(machine, job->image);
         *cached = *cached || counts;
         if (!mv_machine_fits_job(context, job, machine))
@@ -83,8 +85,9 @@
     return candidates;
 }
 
-/* The end of the machines whose score is as good as that at `from`; they come in turn from the
- * machine that is next now. */
+/* Returns the index after the last candidate whose score equals the score of the candidate at
+ * `from`. Sorts these equal candidates in rotation order, beginning with the machine that is next
+ * in the rotation now. */
 static guint end_of_group(const mv_scheduler *scheduler, GArray *candidates, guint from)
 {
     scored_machine *first = &g_array_index(candidates, scored_machine, from);
@@ -104,7 +107,8 @@
 
 static uint64_t next_attempt(mv_scheduler *scheduler, const mv_machine *machine)
 {
-    /* The term makes attempts of successive owners differ, the counter those of one owner. */
+    /* The fencing token (a term) in the high bits keeps attempt numbers of successive owners of the
+     * shard distinct; the counter in the low bits keeps attempt numbers of one owner distinct. */
     uint64_t term = mv_machine_fencing_token(machine);
     return (term << MV_ATTEMPT_BITS) | (++scheduler->attempts & ATTEMPT_COUNTER_MASK);
 }
@@ -138,7 +142,9 @@
              mv_machine_has_image(machine, job->image));
 }
 
-/* A machine that has the image may get room: better wait for it than fetch the image here. */
+/* Returns whether the job's tasks wait instead of starting on `best`. If `best` would have to fetch
+ * the image and another machine has the image but no room, then waiting until that machine has
+ * room is better than fetching the image again, up to the limit that mv_image_wait_s() sets. */
 static bool should_wait_for_image(const mv_context *context, const mv_job *job,
                                   const scored_machine *best, bool cached)
 {
@@ -147,7 +153,8 @@
     return context->clock.now < job->ready_at + mv_image_wait_s(context, job, best->machine);
 }
 
-/* A run of equally good machines, and how many tasks of the job are to stay pending. */
+/* Candidates with equal scores, from index `from` to before `to`, and the number of tasks of the
+ * job that at least stay pending. */
 typedef struct {
     const GArray *candidates; /* scored_machine */
     guint from, to;
@@ -156,8 +163,9 @@
 
 typedef enum { BIND_GROUP_FULL, BIND_FINISHED } bind_result;
 
-/* Binds tasks to one machine as long as it has room, or one task; BIND_FINISHED: the quota is
- * reached, or nothing is left to bind. */
+/* Binds tasks of the job to a machine until the machine has no room, or only one task if `one_task`
+ * is set. Sets `*bound` if a task was bound. Returns BIND_FINISHED if the team's quota is reached
+ * or no further task may be bound. */
 static bind_result bind_to_machine(mv_scheduler *scheduler, mv_job *job, mv_machine *machine,
                                    guint remaining_min, bool one_task, bool *bound)
 {
@@ -173,8 +181,10 @@
     return BIND_GROUP_FULL;
 }
 
-/* One task on each machine of a group, again and again; or, where the fullest comes first, as many
- * as it takes on one after the other. */
+/* Binds tasks of the job to the machines of a group. If the job's tasks are smaller than the
+ * largest task of all owned jobs, the machines with the fewest free cores come first, and each
+ * machine is filled before the next machine gets a task. Otherwise each machine gets one task per
+ * pass until no machine has room. */
 static bind_result bind_to_group(mv_scheduler *scheduler, mv_job *job, const machine_group *group)
 {
     const bool fullest_first = job->spec.cores < scheduler->largest_task_cores;
@@ -203,7 +213,8 @@
     return NULL;
 }
 
-/* Replicas are bound one by one: each changes the scores of machines for its mates. */
+/* Binds replicas one by one and scores all machines again for each replica, because a bound replica
+ * changes the scores of machines for the other replicas of the same service. */
 static void bind_replicas(mv_scheduler *scheduler, mv_job *job)
 {
     const mv_context *context = scheduler->context;
@@ -217,8 +228,9 @@
     }
 }
 
-/* Whether a task that asks for no more than this one found no machine in this round. Under overload
- * most jobs learn so without a look at the fleet. */
+/* Returns whether another job's task, which requests no more and accepts at least the same machine
+ * types, found no machine in this round. Under overload this check rejects most jobs without
+ * examining the fleet. */
 static bool is_known_unschedulable(const mv_scheduler *scheduler, mv_job *job)
 {
     const uint32_t types = mv_job_type_mask(scheduler->context, job);
@@ -242,8 +254,8 @@
         g_ptr_array_add(scheduler->unschedulable, job);
 }
 
-/* What is bound to each machine does not change another's score, so one sorted list serves all
- * tasks of the job. */
+/* Binds tasks of a job that is not a service. A task bound to one machine does not change the score
+ * of any other machine, so one sorted list of machines serves all tasks of the job. */
 static void bind_tasks(mv_scheduler *scheduler, mv_job *job)
 {
     bool cached;
@@ -276,7 +288,8 @@
 
 /* --- starved jobs --- */
 
-/* The machine that lacks least for a task of the job; NULL: none may take it. */
+/* Returns the machine that lacks the fewest cores and GB of memory for a task of the job, once the
+ * tasks that are stopping have gone; NULL if the job allows no machine of its shard. */
 static mv_machine *closest_machine(const mv_scheduler *scheduler, mv_job *job)
 {
     const mv_context *context = scheduler->context;
@@ -297,8 +310,10 @@
     return closest;
 }
 
-/* The same for the quota of its team, unless replicas, which do not end, leave no room for it:
- * reserved for nothing, it kept a lost replica from coming back. */
+/* Reserves cores of the team's quota for one task of the starved job, so that the team's other jobs
+ * do not use them up. If the team's replicas leave too few cores of the limit for the task, nothing
+ * is reserved: replicas do not end, so the task could not start anyway, and the useless reservation
+ * kept a lost replica from being placed again. */
 static void reserve_quota(const mv_job *job)
 {
     mv_team *team = job->team;
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -10,40 +10,43 @@
 
 #include <math.h>
 
-/* A task that may give way, on its machine. */
+/* A task that may be preempted, and its machine. */
 typedef struct {
     mv_machine *machine;
     mv_placement *placement;
     double lost_core_seconds;
 } victim;
 
-/* --- who may be preempted, and what it costs --- */
+/* --- which tasks may be preempted, and at what cost --- */
 
 static bool may_preempt(const mv_job *claimant, const mv_job *victim)
 {
     const bool higher_priority = claimant->spec.priority < victim->spec.priority;
-    /* Replicas are few and small, and missed at once. */
+    /* A service may preempt any work of lower priority, also guaranteed work: replicas are few and
+     * small, and users notice a missing replica at once. */
     if (claimant->spec.service && higher_priority)
         return true;
-    /* Batch work that took a replica's place lost it to the replica again, within a second and
-     * without end: only what has waited for long takes it. */
+    /* If batch work preempted a replica of a service that precedes all jobs, the replica would
+     * preempt that batch work again within a second, in an endless cycle. Therefore only a starved
+     * batch job may preempt such a replica. */
     if (mv_job_precedes_all(victim) && !claimant->spec.service && !claimant->starvation_level)
         return false;
     if (claimant->guaranteed && !victim->guaranteed && claimant->team != victim->team)
         return true;
-    /* Work within a guarantee keeps its place against priority alone. */
+    /* Priority alone does not preempt work within a team's guarantee. */
     return higher_priority && !victim->guaranteed;
 }
 
-/* A launch that is still under way cannot be stopped for certain, and the first task of a job that
- * had starved is not stopped. */
+/* Returns whether a task may be preempted. A task that no heartbeat has shown yet may not, because
+ * its launch may still be in flight and cannot be stopped for certain. The first task of a job that
+ * had starved may not either. */
 static bool is_preemptible(const mv_placement *placement)
 {
     return placement->job && placement->reported && !placement->stopping &&
            !placement->preemption_exempt;
 }
 
-/* Seconds of a task's run that are lost if it is stopped without saving. */
+/* Returns the seconds of run time that are lost if a task stops without writing a checkpoint. */
 static double unsaved_run_s(const mv_context *context, const mv_placement *placement)
 {
     double ran_s = placement->running_at > 0 ? context->clock.now - placement->running_at : 0;
@@ -51,9 +54,10 @@
     return interval_s > 0 ? fmod(ran_s, interval_s) : ran_s;
 }
 
-/* Whether a task with checkpoints saves when it gives way: where that is cheaper than what it has
- * not saved yet, and the claimant can wait for it. Saving took five seconds of an objective of
- * five. */
+/* Returns whether a preempted task writes a checkpoint before it stops. The checkpoint must cost
+ * less time than the run since the last checkpoint. A checkpoint can also take as long as the
+ * claimant's whole start objective (5 s of 5 s), so it must end before the claimant misses that
+ * objective, unless the claimant has already missed it. */
 static bool saves_checkpoint_for(const mv_context *context, const mv_job *claimant,
                                  const mv_placement *placement)
 {
@@ -66,8 +70,8 @@
     return in_time && spec->checkpoint_cost_s < unsaved_run_s(context, placement);
 }
 
-/* The core seconds that stopping it for the claimant would waste. A replica serves somebody right
- * now: last of all. */
+/* Returns the core seconds that stopping a task for the claimant would waste. A replica is serving
+ * users now, so it has the highest cost and is preempted last. */
 static double lost_core_seconds(const mv_context *context, const mv_job *claimant,
                                 const mv_placement *placement)
 {
@@ -118,7 +122,8 @@
     double lost_core_seconds;
 } preemption_plan;
 
-/* Tasks on a machine that may give way to the claimant, least loss first, into `victims`. */
+/* Replaces `victims` by the tasks on a machine that the claimant may preempt, the smallest loss per
+ * core first. */
 static void collect_victims(const mv_context *context, const mv_job *claimant, mv_machine *machine,
                             GArray *victims)
 {
@@ -136,7 +141,9 @@
         g_array_sort(victims, compare_losses_per_core);
 }
 
-/* How many of the cheapest victims there are needed, and what they lose; -1: not enough. */
+/* Returns how many of the victims, taken in order, must stop so that a task of the job fits on the
+ * machine; -1 if the task would not fit even if all of them stopped. Sets `*lost_core_seconds` to
+ * the sum of their losses. */
 static int count_victims_needed(const mv_context *context, const mv_job *job,
                                 const mv_machine *machine, const GArray *victims,
                                 double *lost_core_seconds)
@@ -164,7 +171,9 @@
     return index < other_index ? -1 : index > other_index;
 }
 
-/* Where the image takes longer to come than the objective allows, the room is worth less. */
+/* Returns the core seconds that fetching the image on a machine adds to the cost of preempting
+ * there: 0 if the fetch ends within the job's start objective. If the fetch takes longer, room on
+ * this machine is of less use to the job than room on a machine with the image. */
 static double image_penalty(const mv_context *context, const mv_job *job, const mv_machine *machine)
 {
     double fetch_s = mv_image_fetch_remaining_s(context, job, machine);
@@ -176,7 +185,8 @@
     return machine->shard == job->home_shard && mv_job_allows_machine(context, job, machine);
 }
 
-/* Machines where room can be made, cheapest first. */
+/* Returns the machines where preemption can make room for a task of the job, cheapest first; the
+ * caller frees the array. `victims` is scratch space. */
 static GArray *plan_preemptions(const mv_scheduler *scheduler, mv_job *job, GArray *victims)
 {
     const mv_context *context = scheduler->context;
@@ -196,7 +206,8 @@
     return plans;
 }
 
-/* Makes room for one task on a machine; whether that was possible. */
+/* Makes room for one task of the job on a machine and nominates that room for the job. Returns
+ * whether this was possible. `victims` is scratch space. */
 static bool preempt_on_machine(mv_scheduler *scheduler, mv_job *job, mv_machine *machine,
                                GArray *victims)
 {
@@ -212,7 +223,8 @@
     return true;
 }
 
-/* Room for up to `needed` tasks: one sorted list of machines serves them all. */
+/* Makes room for up to `needed` tasks of the job. One sorted list of machines serves all of them.
+ */
 static void preempt_on_machines(mv_scheduler *scheduler, mv_job *job, unsigned needed)
 {
     g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(victim));
@@ -230,6 +242,8 @@
 
 /* --- room within the quota --- */
 
+/* Returns whether stopping the task frees enough of the team's quota for a task of the job, and the
+ * task is work of the same team with a lower priority. */
 static bool gives_way_within_team(const mv_job *job, const mv_placement *placement)
 {
     return is_preemptible(placement) && placement->team == job->team &&
@@ -251,7 +265,8 @@
     }
 }
 
-/* The team's own work of lower priority that loses least gives way; for how many tasks. */
+/* Preempts up to `needed` tasks of the job's own team that have a lower priority, those with the
+ * smallest loss first, and nominates their room for the job. Returns how many were preempted. */
 static unsigned preempt_within_team(mv_scheduler *scheduler, mv_job *job, unsigned needed)
 {
     const mv_context *context = scheduler->context;
@@ -278,8 +293,9 @@
     if (!mv_job_is_latency_sensitive(context, job))
         return;
     unsigned needed = MIN(job->pending->len, MV_PREEMPTION_BATCH);
-    /* Nominations last one round, so a small fleet, where an examination costs little, is asked
-     * each time. */
+    /* A nomination lasts for one round. In a small fleet an examination costs little, so the
+     * machines are examined and nominated again in every round; in a large fleet the job waits for
+     * MV_PREEMPTION_INTERVAL_S between two examinations. */
     if (machines > MV_HEALTH_CHECK_MIN)
         job->next_preemption_at = context->clock.now + MV_PREEMPTION_INTERVAL_S;
     scheduler->machines_examined += MV_PREEMPTION_COST_FACTOR * machines;
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,16 +1,17 @@
 /**
- * Preemption: tasks stopped for work of higher priority, or to give a team its guarantee.
+ * Preemption: stops tasks to make room for work of higher priority or for a team's guarantee.
  *
- * PROTOCOL, "Preemption": a higher priority may take room from a lower one; a team's guarantee from
- * whatever another team runs beyond its own. Nothing else.
+ * The PROTOCOL page, section "Preemption", allows two cases and no other. Work of higher priority
+ * may take room from work of lower priority. Work within a team's guarantee may take room from
+ * whatever another team runs beyond the guarantee of that other team.
  */
 #ifndef MV_PREEMPTION_H
 #define MV_PREEMPTION_H
 #include "coordination/scheduling/scheduler.h"
 
 /**
- * Makes room for pending tasks of a latency-sensitive job. The room is nominated for them within
- * this round.
+ * Preempts other tasks to make room for pending tasks of a latency-sensitive job, and nominates the
+ * room for the job within this round. Does nothing for other jobs.
  */
 void mv_preempt_for_job(mv_scheduler *scheduler, mv_job *job);
 #endif
