--- a/src/coordination/scheduling/defragmentation.c
+++ b/src/coordination/scheduling/defragmentation.c
@@ -11,10 +11,11 @@
     double wasted_price;
 } drain_candidate;
 
-/* The machines of a shard that may take tasks, at one moment. */
+/* Use of the cores of a shard's schedulable machines at one moment. Draining machines do not count.
+ */
 typedef struct {
-    double free_cores, used_cores; /* of those that are not drained */
-    GArray *candidates;            /* drain_candidate: of those, which could be */
+    double free_cores, used_cores;
+    GArray *candidates; /* drain_candidate: machines that may be drained, most wasteful first */
 } shard_usage;
 
 static double machine_cores(const mv_scheduler *scheduler, const mv_machine *machine)
@@ -23,14 +24,16 @@
     return type ? type->cores : 0;
 }
 
-/* What the unused part of a machine costs, by the hour. */
+/* Returns the price per hour of the unused cores of a machine. */
 static double wasted_price(const mv_scheduler *scheduler, const mv_machine *machine)
 {
     return mv_machine_price_per_core(scheduler->context, machine) *
            mv_machine_available(scheduler->context, machine).cores;
 }
 
-/* Replicas do not end, and a task that its job had to wait long for is left alone. */
+/* Returns whether a machine may be drained. A machine with a replica may not, because replicas do
+ * not end. A machine with the first task of a job that had starved may not, because that task must
+ * not be stopped. */
 static bool can_drain(const mv_machine *machine)
 {
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -93,7 +96,8 @@
     return false;
 }
 
-/* A drained machine that got work all the same is needed: everything else was full. */
+/* Stops draining each machine of the shard that got a task while it was draining: all other
+ * machines were full, so the machine is needed. */
 static void undrain_needed(const mv_scheduler *scheduler, const mv_shard *shard)
 {
     for (guint i = 0; i < scheduler->agents->rotation->len; i++) {
@@ -105,7 +109,7 @@
     }
 }
 
-/* How long the slowest type of machine takes to boot. */
+/* Returns the seconds that the slowest machine type takes to boot. */
 static double longest_boot_s(const mv_scheduler *scheduler)
 {
     const mv_machine_catalog *catalog = &scheduler->context->catalog;
@@ -115,16 +119,17 @@
     return longest_s;
 }
 
-/* While jobs keep coming, a machine that was returned is soon missed: it has to boot and to fetch
- * its images again. (Drained at any time, machines were cheaper and a guarantee held less often:
- * Pine Bluff's fleet 0.733 -> 0.714.) */
+/* Returns whether the shard has got no job for longer than the slowest machine type takes to boot.
+ * While jobs keep arriving, a machine that was returned to the cloud is soon needed again, and a
+ * new machine has to boot and to fetch the images first. Draining machines at any time made the
+ * fleet cheaper, but a guarantee was met less often (Pine Bluff's fleet: 0.733 -> 0.714). */
 static bool arrivals_have_stopped(const mv_scheduler *scheduler, const mv_shard *shard)
 {
     return scheduler->context->clock.now > shard->last_job_at + longest_boot_s(scheduler);
 }
 
-/* Drains the most wasteful machines while the others have room for what is in use and a part more.
- */
+/* Drains the machines with the most expensive unused cores, as long as the other machines have room
+ * for all cores in use plus the share MV_DRAIN_HEADROOM_SHARE. */
 static void choose_machines_to_drain(mv_scheduler *scheduler, mv_shard *shard)
 {
     shard_usage usage = measure_shard(scheduler, shard);
@@ -141,8 +146,9 @@
     g_array_unref(usage.candidates);
 }
 
-/* Whether a task that saves its progress had better go on elsewhere: it has long to run yet, and
- * its start is old enough to count. */
+/* Returns whether a running task with checkpoints should move off a draining machine. Its remaining
+ * run time must be long against the cost of a checkpoint, and it must have run for longer than
+ * MV_START_COUNTS_AFTER_S, because the start of a task that is stopped sooner does not count. */
 static bool should_move(const mv_scheduler *scheduler, const mv_placement *placement)
 {
     const mv_job *job = placement->job;
@@ -157,8 +163,10 @@
            remaining_s > MV_MOVE_REMAINING_FACTOR * job->spec.checkpoint_cost_s;
 }
 
-/* Stops tasks that save on a drained machine where another has room and their image: they are
- * placed there as usual once they have ended. Returns how many were tried. */
+/* Moves tasks with checkpoints off a draining machine. If another machine has room for a task and
+ * has cached its image, then that room is nominated and the task is stopped; a later round places
+ * the task as usual after it has ended. Returns the number of tasks that should move, including
+ * those for which no other machine was found. */
 static unsigned move_tasks(mv_scheduler *scheduler, mv_machine *machine)
 {
     unsigned tried = 0;
--- a/src/coordination/scheduling/services.c
+++ b/src/coordination/scheduling/services.c
@@ -32,7 +32,7 @@
     }
 }
 
-/* --- the reserve --- */
+/* --- reserved capacity --- */
 
 unsigned mv_services_reserve_slots_on(const mv_context *context, const mv_shard *shard,
                                       const mv_machine *machine)
@@ -51,8 +51,9 @@
                            type->ram_gb - services.ram_gb);
 }
 
-/* Of these types, those that fetch so large an image within the time that a start may take; all
- * where none does. Places on machines that took 10 s for it once counted as a reserve. */
+/* Returns those of the machine types that can fetch an image of this size within the start
+ * objective of a service, or all of `types` if none of them can. Without this choice, slots on
+ * machines that took 10 s to fetch the image counted as reserved capacity. */
 static uint32_t types_with_fast_fetch(const mv_context *context, uint32_t types, double image_gb)
 {
     const mv_machine_catalog *catalog = &context->catalog;
@@ -65,7 +66,9 @@
     return types & fast ? types & fast : types;
 }
 
-/* A reserve takes whatever any of the services takes; returns the replicas of the largest. */
+/* Enlarges the slots of a reserve so that a replica of the service `job` fits into each slot.
+ * Restricts the machine types of the reserve to those that the job allows too; if there are none,
+ * the reserve takes the job's types. Returns the number of replicas of the job. */
 static double add_service(const mv_context *context, mv_resource_demand *reserve, mv_job *job)
 {
     const mv_job_spec *spec = &job->spec;
@@ -80,7 +83,8 @@
     return spec->tasks;
 }
 
-/* Sets the reserve for the services of a shard; returns the replicas of the largest. */
+/* Sets the slot size and the machine types of a shard's reserve from the services of the shard.
+ * Returns the number of replicas of the largest service. */
 static double reserve_for_services(const mv_scheduler *scheduler, mv_shard *shard)
 {
     mv_resource_demand *reserve = &shard->reserve;
@@ -100,9 +104,11 @@
     return largest;
 }
 
-/* The first service finds only what batch work was content with, perhaps nothing but machines that
- * the cloud takes back. In a large fleet one lasting machine costs next to nothing; but no work is
- * stopped for services that nobody has asked for yet. */
+/* Returns whether a shard without services keeps an initial reserve. Without a reserve, the first
+ * service finds only machines that were rented for batch work, perhaps only spot machines, which
+ * the cloud may reclaim. In a large fleet the cost of one ordinary machine is negligible. The
+ * initial reserve is not marked as demand of a service, so no batch work is stopped for services
+ * that no user has submitted yet. */
 static bool reserves_before_first_service(const mv_context *context, const mv_shard *shard)
 {
     return shard->reserve.cores == 0 && shard->machine_count >= MV_RESERVE_MACHINES_MIN &&
@@ -119,7 +125,8 @@
                                 .reserve = true};
 }
 
-/* The replicas of the machine of the shard that has most of them. */
+/* Returns the largest number of replicas on one machine of the shard: the most replicas that the
+ * loss of one machine can take. */
 static double max_replicas_on_a_machine(const mv_scheduler *scheduler, const mv_shard *shard)
 {
     const GPtrArray *rotation = scheduler->agents->rotation;
--- a/src/coordination/scheduling/services.h
+++ b/src/coordination/scheduling/services.h
@@ -1,28 +1,37 @@
 /**
- * Services: replicas that move ahead of a loss, and capacity that is reserved for them.
+ * Services: moves replicas off machines that are about to be lost, and reserves capacity for
+ * replicas.
  *
- * Services wait for nobody, while a machine takes its time to boot: there should always be places
- * for one more service like the largest, or for the replicas of the machine that has most. Batch
- * work may use them meanwhile, so they cost next to nothing.
+ * A replica has to start within seconds, while a new machine takes longer to boot. The owner of a
+ * shard therefore reserves slots for one more service of the size of the shard's largest service,
+ * or for all replicas of the machine that runs the most, whichever needs more slots. Batch work may
+ * use these slots until replicas need them, so the reserve costs almost nothing.
  */
 #ifndef MV_SERVICES_H
 #define MV_SERVICES_H
 #include "coordination/scheduling/scheduler.h"
 
 /**
- * Replicas on a machine that is about to go, or is a straggler, move as soon as there is room
- * elsewhere: a machine is chosen first, so that the gap is no longer than a start. Never for
- * tidiness.
+ * Moves the replicas of a machine that the cloud is about to reclaim, or that is quarantined as a
+ * straggler, as soon as another machine has room. A target machine is nominated before the replica
+ * is stopped, so the replica is missing for no longer than one start takes. Replicas are never
+ * moved for a better distribution alone.
  */
 void mv_services_move_replicas(mv_scheduler *scheduler, mv_machine *machine);
-/** Computes what a shard's reserve should be, and how many places there are. */
+/** Computes the reserve that a shard should have and the number of slots that the shard has. */
 void mv_services_update_reserve(mv_scheduler *scheduler, mv_shard *shard);
-/** Places of the reserve that a machine has or could have, were batch work stopped there. */
+/**
+ * Returns the number of slots of the shard's reserve that a machine has, counting slots that become
+ * free when batch work on the machine is stopped.
+ */
 unsigned mv_services_reserve_slots_on(const mv_context *context, const mv_shard *shard,
                                       const mv_machine *machine);
-/** Whether the reserve can do without so many of its places. */
+/** Returns whether a shard's reserve stays complete without this number of its slots. */
 bool mv_services_can_release_slots(const mv_shard *shard, unsigned slots);
-/** Whether the reserve can do without a machine, which then counts no more. */
+/**
+ * Returns whether a shard's reserve stays complete without a machine. If it does, the slots of the
+ * machine are subtracted from the slots that the shard has.
+ */
 bool mv_services_release_machine(const mv_context *context, mv_shard *shard,
                                  const mv_machine *machine);
 #endif
