--- a/src/coordination/scheduling/quota.c
+++ b/src/coordination/scheduling/quota.c
@@ -30,10 +30,12 @@
     }
 }
 
-/* Work that must start soon finds room within its team's limit: the team's other work leaves some,
- * as much as such jobs lately took. A full limit was what most latency-sensitive work waited for.
- * Where the team's own work saves its progress, room is made when it is needed: left free as well,
- * it kept such work waiting for MV_STARVATION_TIMEOUT_S. */
+/* Returns the cores of the team's limit that a job must leave free as headroom for the team's
+ * latency-sensitive jobs: the usual size of such a job, less the cores that such jobs use now.
+ * Without headroom, a full team limit was what most latency-sensitive work waited for. The cores of
+ * the team's preemptible tasks with checkpoints are subtracted too, because preemption makes room
+ * there when the room is needed; headroom in addition to them kept work with checkpoints waiting
+ * for MV_STARVATION_TIMEOUT_S. */
 static double headroom_cores(const mv_context *context, const mv_job *job)
 {
     const mv_team *team = job->team;
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,18 +1,23 @@
-/** Quotas: a team's limit, and what has to count against it though it is not known for certain. */
+/**
+ * Quotas: the limit of a team, and the resources that count against the limit although this
+ * controller does not know for certain whether tasks use them.
+ */
 #ifndef MV_QUOTA_H
 #define MV_QUOTA_H
 #include "coordination/scheduling/scheduler.h"
 
 /**
- * Begins a round: tasks of a predecessor on machines without a heartbeat count at the most they can
- * be.
+ * Lists the unconfirmed machines at the beginning of a round and counts the unknown use of each
+ * shard. Tasks of the previous owner may still run on a machine that has sent no heartbeat to this
+ * owner, so all cores and GPUs of such a machine count as used, as do those of a machine with
+ * unknown tasks.
  */
 void mv_quota_count_unknown_use(mv_scheduler *scheduler);
-/** Whether one more task of the job stays within its team's limit. */
+/** Returns whether one more task of the job stays within the limit of the job's team. */
 bool mv_quota_allows(const mv_context *context, const mv_job *job);
 /**
- * Whether the team's limit, not the machines, stands in the way of one more task, even once all
- * that is told to stop has gone.
+ * Returns whether the team's limit prevents one more task of the job, regardless of room on
+ * machines, even after all tasks that are stopping have ended.
  */
 bool mv_quota_is_exhausted(const mv_job *job);
 #endif
--- a/src/coordination/scheduling/scoring.c
+++ b/src/coordination/scheduling/scoring.c
@@ -27,8 +27,9 @@
     return type && type->image_gb_per_s > 0 ? job->spec.image_gb / type->image_gb_per_s : 0;
 }
 
-/* Waiting for a cached image longer than fetching it here would take can gain nothing, and work
- * that should start within seconds has few to give away. */
+/* The wait is limited in three ways. The operators set a limit (`image_wait_s`). A wait that is
+ * longer than the fetch of the image on this machine gains nothing. Work that has to start within
+ * seconds may spend only the share MV_IMAGE_WAIT_SHARE of its start objective on the wait. */
 double mv_image_wait_s(const mv_context *context, const mv_job *job, const mv_machine *machine)
 {
     double share_s = MV_IMAGE_WAIT_SHARE * mv_job_start_objective_s(context, job);
@@ -70,7 +71,8 @@
            g_hash_table_contains(machine->failed_jobs, job->spec.id);
 }
 
-/* Whether others who wait cannot do without the machine's type, and the job can. */
+/* Returns whether a pending job of the shard can run on no other machine type than the machine's,
+ * while this job has a choice of types that no pending job depends on. */
 static bool is_scarce_for_peers(const mv_job *job, const mv_machine *machine)
 {
     uint32_t scarce = job->home_shard->scarce_types;
