--- a/src/coordination/scheduling/job_order.c
+++ b/src/coordination/scheduling/job_order.c
@@ -6,7 +6,8 @@
 
 /* --- collecting --- */
 
-/* The only type that takes the job is scarce to others. */
+/* If the job has pending tasks and only one machine type can run them, marks that type as scarce in
+ * the job's shard, so that other jobs prefer other types. */
 static void mark_scarce_type(const mv_context *context, mv_job *job)
 {
     uint32_t types = mv_job_type_mask(context, job);
@@ -53,7 +54,9 @@
     team->reserved_cores = team->service_cores = 0;
 }
 
-/* What a team's latency-sensitive work uses now, and how much such a job usually asks. */
+/* Adds a latency-sensitive job to the cores that such jobs of its team use now. Also adds the size
+ * of the job to the smoothed usual size of such a job, only the first time that the job is ranked.
+ */
 static void update_latency_sensitive_use(mv_job *job)
 {
     mv_team *team = job->team;
@@ -69,7 +72,8 @@
     job->counted_in_usual_size = true;
 }
 
-/* What of the team's own work gives way to latency-sensitive work with little loss. */
+/* Adds the job's cores to the team's cores that latency-sensitive work of the same team can preempt
+ * with little loss, if the job has a lower priority and writes checkpoints. */
 static void update_preemptible_use(const mv_job *job)
 {
     bool gives_way = job->spec.priority > job->team->latency_sensitive_priority;
@@ -77,8 +81,9 @@
         job->team->preemptible_cores += job->tasks_placed * job->spec.cores;
 }
 
-/* A job is guaranteed when it fits its team's share along with the team's earlier unfinished jobs,
- * whose cores are in `team_cores`. */
+/* Returns whether a job is within its team's guarantee: the unfinished tasks of this job and of all
+ * earlier jobs of the team must fit into the guaranteed cores. `*team_cores` holds the cores of the
+ * earlier jobs; the cores of this job are added to them. */
 static bool is_guaranteed(const mv_job *job, double *team_cores)
 {
     const double guaranteed_cores = job->team->settings->cpus;
--- a/src/coordination/scheduling/round.c
+++ b/src/coordination/scheduling/round.c
@@ -7,7 +7,7 @@
 #include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/quota.h"
 
-/* Machines that may take something in this round, looked up once for all its jobs. */
+/* Lists the machines that may take tasks in this round. The list serves all jobs of the round. */
 static void collect_schedulable_machines(mv_scheduler *scheduler)
 {
     const mv_context *context = scheduler->context;
@@ -52,8 +52,8 @@
         schedule_job(scheduler, g_ptr_array_index(jobs, i));
 }
 
-/* How long until the next round at the earliest: longer the more waits and the more the last round
- * examined. */
+/* Returns the shortest time in seconds until the next round. The time grows with the number of
+ * pending tasks and with the number of machines that the last round examined. */
 static double round_interval_s(const mv_scheduler *scheduler)
 {
     unsigned pending = scheduler->context->counters.tasks_pending;
@@ -67,8 +67,9 @@
 {
     mv_context *context = scheduler->context;
     const double now = context->clock.now;
-    /* Some obstacles end with time alone: a pause, a wait for an image, a first sign of life. With
-     * no other event about, tasks waited a minute for the next. */
+    /* Some obstacles to placing a task end without an event that requests a round: a pause of
+     * launches expires, the wait for an image ends, or a machine without a recent heartbeat sends
+     * one. When only events requested rounds, tasks waited a minute for the next event. */
     if (context->counters.tasks_pending && now >= scheduler->next_round_at + MV_ROUND_DEADLINE_S)
         context->round_requested = true;
     if (!context->round_requested || now < scheduler->next_round_at)
