--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -15,7 +15,8 @@
 typedef struct {
     mv_machine *machine;
     mv_placement_score score;
-    guint turn; /* places in the rotation between the machine that is next and this machine */
+    guint rotation_distance; /* places in the rotation between the machine that is next and this
+                                machine */
 } scored_machine;
 
 /* --- one machine --- */
@@ -40,10 +41,12 @@
 
 /* --- many machines --- */
 
-static gint compare_turns(gconstpointer left, gconstpointer right)
+static gint compare_rotation_distances(gconstpointer left, gconstpointer right)
 {
     const scored_machine *candidate = left, *other = right;
-    return candidate->turn < other->turn ? -1 : candidate->turn > other->turn;
+    return candidate->rotation_distance < other->rotation_distance
+               ? -1
+               : candidate->rotation_distance > other->rotation_distance;
 }
 
 static gint compare_scores(gconstpointer left, gconstpointer right)
@@ -53,7 +56,7 @@
         return -1;
     if (mv_score_is_better(&other->score, &candidate->score))
         return 1;
-    return compare_turns(left, right);
+    return compare_rotation_distances(left, right);
 }
 
 /* Returns the machines with room for a task of the job, best first; the caller frees the array.
@@ -71,13 +74,14 @@
             continue;
         /* The image on a draining machine does not count: a draining machine is used last, so no
          * task waits for room on it. */
-        bool counts = !machine->draining && mv_machine_has_image(machine, job->image);
-        *cached = *cached || counts;
+        bool image_usable = !machine->draining && mv_machine_has_image(machine, job->image);
+        *cached = *cached || image_usable;
         if (!mv_machine_fits_job(context, job, machine))
             continue;
         scored_machine candidate = {.machine = machine,
                                     .score = mv_score_machine(scheduler, job, machine),
-                                    .turn = mv_scheduler_turn_of(scheduler, machine)};
+                                    .rotation_distance =
+                                        mv_scheduler_rotation_distance(scheduler, machine)};
         g_array_append_val(candidates, candidate);
     }
     g_array_sort(candidates, compare_scores);
@@ -96,10 +100,11 @@
         scored_machine *candidate = &g_array_index(candidates, scored_machine, end);
         if (mv_score_is_better(&first->score, &candidate->score))
             break;
-        candidate->turn = mv_scheduler_turn_of(scheduler, candidate->machine);
+        candidate->rotation_distance =
+            mv_scheduler_rotation_distance(scheduler, candidate->machine);
         end++;
     }
-    qsort(first, end - from, sizeof *first, compare_turns);
+    qsort(first, end - from, sizeof *first, compare_rotation_distances);
     return end;
 }
 
@@ -158,7 +163,7 @@
 typedef struct {
     const GArray *candidates; /* scored_machine */
     guint from, to;
-    guint remaining_min;
+    guint pending_min;
 } machine_group;
 
 typedef enum { BIND_GROUP_FULL, BIND_FINISHED } bind_result;
@@ -167,11 +172,11 @@
  * is set. Sets `*bound` if a task was bound. Returns BIND_FINISHED if the team's quota is reached
  * or no further task may be bound. */
 static bind_result bind_to_machine(mv_scheduler *scheduler, mv_job *job, mv_machine *machine,
-                                   guint remaining_min, bool one_task, bool *bound)
+                                   guint pending_min, bool one_task, bool *bound)
 {
     const mv_context *context = scheduler->context;
     while (mv_machine_fits_job(context, job, machine) && mv_job_zones_allow(job, machine)) {
-        if (job->pending->len <= remaining_min || !mv_quota_allows(context, job))
+        if (job->pending->len <= pending_min || !mv_quota_allows(context, job))
             return BIND_FINISHED;
         bind_task(scheduler, job, machine);
         *bound = true;
@@ -193,7 +198,7 @@
         bound = false;
         for (guint i = group->from; i < group->to; i++) {
             mv_machine *machine = g_array_index(group->candidates, scored_machine, i).machine;
-            if (bind_to_machine(scheduler, job, machine, group->remaining_min, !fullest_first,
+            if (bind_to_machine(scheduler, job, machine, group->pending_min, !fullest_first,
                                 &bound) == BIND_FINISHED)
                 return BIND_FINISHED;
         }
@@ -262,8 +267,8 @@
     const bool one_task = job->starvation_level > 1 && job->pending->len;
     g_autoptr(GArray) candidates = score_machines(scheduler, job, &cached);
     machine_group group = {.candidates = candidates,
-                           .remaining_min = one_task ? job->pending->len - 1 : 0};
-    for (; group.from < candidates->len && job->pending->len > group.remaining_min;
+                           .pending_min = one_task ? job->pending->len - 1 : 0};
+    for (; group.from < candidates->len && job->pending->len > group.pending_min;
          group.from = group.to) {
         const scored_machine *first = &g_array_index(candidates, scored_machine, group.from);
         if (should_wait_for_image(scheduler->context, job, first, cached))
@@ -272,7 +277,7 @@
         if (bind_to_group(scheduler, job, &group) == BIND_FINISHED)
             return;
     }
-    if (job->pending->len > group.remaining_min)
+    if (job->pending->len > group.pending_min)
         remember_unschedulable(scheduler, job);
 }
 
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -244,7 +244,7 @@
 
 /* Returns whether stopping the task frees enough of the team's quota for a task of the job, and the
  * task is work of the same team with a lower priority. */
-static bool gives_way_within_team(const mv_job *job, const mv_placement *placement)
+static bool may_preempt_within_team(const mv_job *job, const mv_placement *placement)
 {
     return is_preemptible(placement) && placement->team == job->team &&
            placement->cores >= job->spec.cores &&
@@ -256,7 +256,7 @@
 {
     for (guint i = 0; i < machine->placements->len; i++) {
         mv_placement *placement = g_ptr_array_index(machine->placements, i);
-        if (!gives_way_within_team(job, placement))
+        if (!may_preempt_within_team(job, placement))
             continue;
         victim victim = {.machine = machine,
                          .placement = placement,
--- a/src/coordination/scheduling/scheduler.c
+++ b/src/coordination/scheduling/scheduler.c
@@ -17,7 +17,7 @@
     g_ptr_array_unref(scheduler->unschedulable);
 }
 
-guint mv_scheduler_turn_of(const mv_scheduler *scheduler, const mv_machine *machine)
+guint mv_scheduler_rotation_distance(const mv_scheduler *scheduler, const mv_machine *machine)
 {
     const guint machines = scheduler->agents->rotation->len;
     return (machine->rotation_index + machines - scheduler->next_in_rotation % machines) % machines;
--- a/src/coordination/scheduling/scheduler.h
+++ b/src/coordination/scheduling/scheduler.h
@@ -35,5 +35,5 @@
 /** Frees the lists of a scheduler, but neither `scheduler` itself nor the machines and jobs. */
 void mv_scheduler_clear(mv_scheduler *scheduler);
 /** Returns how many places in the rotation a machine comes after the machine that is next. */
-guint mv_scheduler_turn_of(const mv_scheduler *scheduler, const mv_machine *machine);
+guint mv_scheduler_rotation_distance(const mv_scheduler *scheduler, const mv_machine *machine);
 #endif
--- a/src/coordination/scheduling/scoring.c
+++ b/src/coordination/scheduling/scoring.c
@@ -45,9 +45,9 @@
     double remaining_s = image_fetch_s(context, job, machine);
     for (guint i = 0; i < machine->placements->len; i++) {
         const mv_placement *placement = g_ptr_array_index(machine->placements, i);
-        bool fetches_it =
+        bool fetches_image =
             placement->job && placement->running_at == 0 && placement->job->image == job->image;
-        if (!fetches_it)
+        if (!fetches_image)
             continue;
         double fetched_s = context->clock.now - placement->placed_at;
         remaining_s = MIN(remaining_s, MAX(0, remaining_s - fetched_s));
@@ -65,7 +65,7 @@
     return count;
 }
 
-static bool job_failed_there(const mv_job *job, const mv_machine *machine)
+static bool job_failed_on_machine(const mv_job *job, const mv_machine *machine)
 {
     return g_hash_table_size(machine->failed_jobs) &&
            g_hash_table_contains(machine->failed_jobs, job->spec.id);
@@ -73,7 +73,7 @@
 
 /* Returns whether a pending job of the shard can run on no other machine type than the machine's,
  * while this job has a choice of types that no pending job depends on. */
-static bool is_scarce_for_peers(const mv_job *job, const mv_machine *machine)
+static bool is_scarce_for_other_jobs(const mv_job *job, const mv_machine *machine)
 {
     uint32_t scarce = job->home_shard->scarce_types;
     return (scarce >> machine->type_index & 1) && (job->type_mask & ~scarce);
@@ -82,7 +82,7 @@
 static void score_for_service(const mv_context *context, const mv_job *job,
                               const mv_machine *machine, double fetch_s, mv_placement_score *score)
 {
-    score->preemptible = machine->spot;
+    score->spot = machine->spot;
     score->replicas_here = count_replicas_of(job, machine);
     score->concentrates_replicas = score->replicas_here >= (job->spec.tasks + 1) / 2;
     score->slow_image_fetch = fetch_s > mv_job_start_objective_s(context, job);
@@ -98,8 +98,8 @@
     double fetch_s = fetch_matters ? mv_image_fetch_remaining_s(context, job, machine) : 0;
     mv_placement_score score = {
         .draining = machine->draining && !job->spec.service,
-        .unreliable = mv_machine_is_slow(machine) || job_failed_there(job, machine),
-        .scarce_type = is_scarce_for_peers(job, machine),
+        .unreliable = mv_machine_is_slow(machine) || job_failed_on_machine(job, machine),
+        .scarce_type = is_scarce_for_other_jobs(job, machine),
         .cached_image_gb = has_image ? MAX(job->spec.image_gb, MV_RESOURCE_EPSILON) : 0,
         .fetch_steps = latency_sensitive ? (int)(fetch_s / MV_FETCH_STEP_S) : 0,
     };
@@ -118,8 +118,8 @@
         return other->draining;
     if (score->scarce_type != other->scarce_type)
         return other->scarce_type;
-    if (score->preemptible != other->preemptible)
-        return other->preemptible;
+    if (score->spot != other->spot)
+        return other->spot;
     if (score->concentrates_replicas != other->concentrates_replicas)
         return other->concentrates_replicas;
     if (score->slow_image_fetch != other->slow_image_fetch)
--- a/src/coordination/scheduling/scoring.h
+++ b/src/coordination/scheduling/scoring.h
@@ -22,7 +22,7 @@
     /** Another pending job can run on this machine type only, while this job has other types. */
     bool scarce_type;
     /** For a service: the machine is a spot machine, which the cloud may reclaim. */
-    bool preemptible;
+    bool spot;
     /** For a service: half of the replicas run on the machine. The loss of one machine should take
      * as few replicas as possible. */
     bool concentrates_replicas;
