--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -15,11 +15,10 @@
 typedef struct {
     mv_machine *machine;
     mv_placement_score score;
-    guint rotation_distance; /* places in the rotation between the machine that is next and this
-                                machine */
+    guint rotation_distance; /* places after the machine that is next in the rotation */
 } scored_machine;
 
-/* --- one machine --- */
+/* --- one task between rounds --- */
 
 mv_machine *mv_scheduler_find_machine(const mv_scheduler *scheduler, mv_job *job)
 {
@@ -39,7 +38,7 @@
     return best;
 }
 
-/* --- many machines --- */
+/* --- sorting machines within a round --- */
 
 static gint compare_rotation_distances(gconstpointer left, gconstpointer right)
 {
@@ -158,8 +157,8 @@
     return context->clock.now < job->ready_at + mv_image_wait_s(context, job, best->machine);
 }
 
-/* Candidates with equal scores, from index `from` to before `to`, and the number of tasks of the
- * job that at least stay pending. */
+/* Candidates with equal scores, from index `from` to before `to`, and the smallest number of tasks
+ * of the job that must stay pending. */
 typedef struct {
     const GArray *candidates; /* scored_machine */
     guint from, to;
@@ -233,9 +232,10 @@
     }
 }
 
-/* Returns whether another job's task, which requests no more and accepts at least the same machine
- * types, found no machine in this round. Under overload this check rejects most jobs without
- * examining the fleet. */
+/* Returns whether a task of this job cannot find a machine in this round, because a task of another
+ * job of the shard found none although the other task requests no more resources and accepts at
+ * least the same machines. Under overload this check rejects most jobs without examining the
+ * fleet. */
 static bool is_known_unschedulable(const mv_scheduler *scheduler, mv_job *job)
 {
     const uint32_t types = mv_job_type_mask(scheduler->context, job);
@@ -251,6 +251,8 @@
     return false;
 }
 
+/* Records that no machine has room for a task of the job, for is_known_unschedulable(). A job with
+ * a zone or a zone rule is not recorded, because machines in other zones may still have room. */
 static void remember_unschedulable(mv_scheduler *scheduler, mv_job *job)
 {
     const mv_job_spec *spec = &job->spec;
@@ -260,7 +262,9 @@
 }
 
 /* Binds tasks of a job that is not a service. A task bound to one machine does not change the score
- * of any other machine, so one sorted list of machines serves all tasks of the job. */
+ * of any other machine, so one sorted list of machines serves all tasks of the job. A severely
+ * starved job precedes guaranteed jobs, so only one of its tasks is bound: guarantees lose no more
+ * than that. */
 static void bind_tasks(mv_scheduler *scheduler, mv_job *job)
 {
     bool cached;
@@ -293,8 +297,9 @@
 
 /* --- starved jobs --- */
 
-/* Returns the machine that lacks the fewest cores and GB of memory for a task of the job, once the
- * tasks that are stopping have gone; NULL if the job allows no machine of its shard. */
+/* Returns the machine that will lack the least for a task of the job once the tasks that are
+ * stopping have ended: the smallest sum of missing cores and missing GB of memory. Returns NULL if
+ * the job allows no schedulable machine of its shard. */
 static mv_machine *closest_machine(const mv_scheduler *scheduler, mv_job *job)
 {
     const mv_context *context = scheduler->context;
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -39,7 +39,7 @@
 
 /* Returns whether a task may be preempted. A task that no heartbeat has shown yet may not, because
  * its launch may still be in flight and cannot be stopped for certain. The first task of a job that
- * had starved may not either. */
+ * had starved may not either, because such a task would be placed and stopped without end. */
 static bool is_preemptible(const mv_placement *placement)
 {
     return placement->job && placement->reported && !placement->stopping &&
@@ -54,10 +54,10 @@
     return interval_s > 0 ? fmod(ran_s, interval_s) : ran_s;
 }
 
-/* Returns whether a preempted task writes a checkpoint before it stops. The checkpoint must cost
- * less time than the run since the last checkpoint. A checkpoint can also take as long as the
- * claimant's whole start objective (5 s of 5 s), so it must end before the claimant misses that
- * objective, unless the claimant has already missed it. */
+/* Returns whether a task that is preempted for the claimant writes a checkpoint before it stops.
+ * The checkpoint must take less time than the task has run since its last checkpoint. A checkpoint
+ * can take as long as the claimant's whole start objective (5 s of 5 s), so the checkpoint must
+ * also end before the claimant misses that objective, unless the claimant has already missed it. */
 static bool saves_checkpoint_for(const mv_context *context, const mv_job *claimant,
                                  const mv_placement *placement)
 {
@@ -71,7 +71,7 @@
 }
 
 /* Returns the core seconds that stopping a task for the claimant would waste. A replica is serving
- * users now, so it has the highest cost and is preempted last. */
+ * users now, so the replica gets the highest possible cost and is preempted last. */
 static double lost_core_seconds(const mv_context *context, const mv_job *claimant,
                                 const mv_placement *placement)
 {
@@ -171,9 +171,9 @@
     return index < other_index ? -1 : index > other_index;
 }
 
-/* Returns the core seconds that fetching the image on a machine adds to the cost of preempting
- * there: 0 if the fetch ends within the job's start objective. If the fetch takes longer, room on
- * this machine is of less use to the job than room on a machine with the image. */
+/* Returns the core seconds that fetching the image adds to the cost of preempting on a machine. If
+ * the fetch takes longer than the job's start objective allows, room on this machine is worth less
+ * to the job, so the fetch time of all cores of a task is added; otherwise nothing is added. */
 static double image_penalty(const mv_context *context, const mv_job *job, const mv_machine *machine)
 {
     double fetch_s = mv_image_fetch_remaining_s(context, job, machine);
@@ -242,8 +242,9 @@
 
 /* --- room within the quota --- */
 
-/* Returns whether stopping the task frees enough of the team's quota for a task of the job, and the
- * task is work of the same team with a lower priority. */
+/* Returns whether a task of the same team may be preempted for the job: the task has a lower
+ * priority and at least as many cores as a task of the job, so stopping the task frees enough of
+ * the team's quota. */
 static bool may_preempt_within_team(const mv_job *job, const mv_placement *placement)
 {
     return is_preemptible(placement) && placement->team == job->team &&
