--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -59,8 +59,8 @@
 }
 
 /* Returns the machines with room for a task of the job, best first; the caller frees the array.
- * Sets `*cached` to whether any machine that the job allows and that is not draining has the job's
- * image, with room or without. */
+ * Sets `*cached` to whether the job's image is on any machine of the job's shard that the job
+ * allows and that is not draining, with room or without. */
 static GArray *score_machines(mv_scheduler *scheduler, mv_job *job, bool *cached)
 {
     const mv_context *context = scheduler->context;
@@ -147,8 +147,8 @@
 }
 
 /* Returns whether the job's tasks wait instead of starting on `best`. If `best` would have to fetch
- * the image and another machine has the image but no room, then waiting until that machine has
- * room is better than fetching the image again, up to the limit that mv_image_wait_s() sets. */
+ * the image and another machine has the image, that machine may get room. Waiting for that room is
+ * better than fetching the image again, up to the limit that mv_image_wait_s() sets. */
 static bool should_wait_for_image(const mv_context *context, const mv_job *job,
                                   const scored_machine *best, bool cached)
 {
--- a/src/coordination/scheduling/binding.h
+++ b/src/coordination/scheduling/binding.h
@@ -27,7 +27,8 @@
 mv_machine *mv_scheduler_find_machine(const mv_scheduler *scheduler, mv_job *job);
 
 #ifdef MV_MUTATION_TESTING
-/** Is called before a task is bound to a machine; tests/reference_scheduler.c defines it. */
+/** The tests define this function (tests/reference_scheduler.c); each binding of a task calls it.
+ */
 void mv_binding_observed(const mv_scheduler *scheduler, mv_job *job, const mv_machine *machine);
 #endif
 #endif
--- a/src/coordination/scheduling/defragmentation.c
+++ b/src/coordination/scheduling/defragmentation.c
@@ -96,8 +96,8 @@
     return false;
 }
 
-/* Stops draining each machine of the shard that got a task while it was draining: all other
- * machines were full, so the machine is needed. */
+/* Ends the draining of each machine of the shard that got a task while draining: all other machines
+ * were full, so the shard needs the machine. */
 static void undrain_needed(const mv_scheduler *scheduler, const mv_shard *shard)
 {
     for (guint i = 0; i < scheduler->agents->rotation->len; i++) {
@@ -146,9 +146,10 @@
     g_array_unref(usage.candidates);
 }
 
-/* Returns whether a running task with checkpoints should move off a draining machine. Its remaining
- * run time must be long against the cost of a checkpoint, and it must have run for longer than
- * MV_START_COUNTS_AFTER_S, because the start of a task that is stopped sooner does not count. */
+/* Returns whether a running task with checkpoints should move off a draining machine. The remaining
+ * run time must exceed MV_MOVE_REMAINING_FACTOR times the time that a checkpoint takes. The task
+ * must have run for longer than MV_START_COUNTS_AFTER_S, because the start of a task that is
+ * stopped sooner does not count. */
 static bool should_move(const mv_scheduler *scheduler, const mv_placement *placement)
 {
     const mv_job *job = placement->job;
@@ -163,10 +164,10 @@
            remaining_s > MV_MOVE_REMAINING_FACTOR * job->spec.checkpoint_cost_s;
 }
 
-/* Moves tasks with checkpoints off a draining machine. If another machine has room for a task and
- * has cached its image, then that room is nominated and the task is stopped; a later round places
- * the task as usual after it has ended. Returns the number of tasks that should move, including
- * those for which no other machine was found. */
+/* Moves tasks with checkpoints off a draining machine. If a machine that is not draining has room
+ * for a task and has cached the task's image, then that room is nominated and the task is stopped;
+ * after the stop, a round places the task as usual. Returns the number of tasks that should move,
+ * including tasks for which no other machine was found. */
 static unsigned move_tasks(mv_scheduler *scheduler, mv_machine *machine)
 {
     unsigned tried = 0;
--- a/src/coordination/scheduling/job_order.c
+++ b/src/coordination/scheduling/job_order.c
@@ -54,9 +54,9 @@
     team->reserved_cores = team->service_cores = 0;
 }
 
-/* Adds a latency-sensitive job to the cores that such jobs of its team use now. Also adds the size
- * of the job to the smoothed usual size of such a job, only the first time that the job is ranked.
- */
+/* Adds the cores that a latency-sensitive job uses now to the sum of its team. When the job is
+ * ranked for the first time, its size also enters the smoothed usual size of the team's
+ * latency-sensitive jobs. */
 static void update_latency_sensitive_use(mv_job *job)
 {
     mv_team *team = job->team;
--- a/src/coordination/scheduling/quota.c
+++ b/src/coordination/scheduling/quota.c
@@ -31,11 +31,13 @@
 }
 
 /* Returns the cores of the team's limit that a job must leave free as headroom for the team's
- * latency-sensitive jobs: the usual size of such a job, less the cores that such jobs use now.
- * Without headroom, a full team limit was what most latency-sensitive work waited for. The cores of
- * the team's preemptible tasks with checkpoints are subtracted too, because preemption makes room
- * there when the room is needed; headroom in addition to them kept work with checkpoints waiting
- * for MV_STARVATION_TIMEOUT_S. */
+ * latency-sensitive jobs: the usual size of such a job, at most MV_HEADROOM_SHARE_MAX of the limit,
+ * less the cores that such jobs use now. Without headroom, most latency-sensitive work waited
+ * because the limit of its team was full. The cores of the team's preemptible tasks with
+ * checkpoints are subtracted too, because preemption frees those cores when latency-sensitive work
+ * needs them. When headroom was left free in addition to those cores, work with checkpoints waited
+ * for MV_STARVATION_TIMEOUT_S. Latency-sensitive jobs, services and starving jobs leave nothing
+ * free. */
 static double headroom_cores(const mv_context *context, const mv_job *job)
 {
     const mv_team *team = job->team;
--- a/src/coordination/scheduling/scoring.c
+++ b/src/coordination/scheduling/scoring.c
@@ -71,8 +71,8 @@
            g_hash_table_contains(machine->failed_jobs, job->spec.id);
 }
 
-/* Returns whether a pending job of the shard can run on no other machine type than the machine's,
- * while this job has a choice of types that no pending job depends on. */
+/* Returns whether some pending job of the shard can run only on the type of this machine, while
+ * this job can also run on a type that no pending job depends on. */
 static bool is_scarce_for_other_jobs(const mv_job *job, const mv_machine *machine)
 {
     uint32_t scarce = job->home_shard->scarce_types;
--- a/src/coordination/scheduling/services.c
+++ b/src/coordination/scheduling/services.c
@@ -104,9 +104,10 @@
     return largest;
 }
 
-/* Returns whether a shard without services keeps an initial reserve. Without a reserve, the first
- * service finds only machines that were rented for batch work, perhaps only spot machines, which
- * the cloud may reclaim. In a large fleet the cost of one ordinary machine is negligible. The
+/* Returns whether a shard without services keeps an initial reserve; only a shard with many
+ * machines does. Without a reserve, the first service finds only machines that were rented for
+ * batch work, perhaps only spot machines, which the cloud may reclaim. In a large fleet the cost of
+ * one ordinary machine, which the cloud does not reclaim, is negligible. The
  * initial reserve is not marked as demand of a service, so no batch work is stopped for services
  * that no user has submitted yet. */
 static bool reserves_before_first_service(const mv_context *context, const mv_shard *shard)
