--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -9,16 +9,16 @@
 
 #include <stdlib.h>
 
-/* The part of an attempt that counts within one term. */
+/* The low bits of an attempt number: the counter of placements within one term. */
 #define ATTEMPT_COUNTER_MASK ((1u << MV_ATTEMPT_BITS) - 1)
 
 typedef struct {
     mv_machine *machine;
     mv_placement_score score;
-    guint turn; /* places after the one whose turn it is */
+    guint rotation_distance; /* places after the machine that is next in the rotation */
 } scored_machine;
 
-/* --- one machine --- */
+/* --- one task between rounds --- */
 
 mv_machine *mv_scheduler_find_machine(const mv_scheduler *scheduler, mv_job *job)
 {
@@ -38,12 +38,14 @@
     return best;
 }
 
-/* --- many machines --- */
+/* --- sorting machines within a round --- */
 
-static gint compare_turns(gconstpointer left, gconstpointer right)
+static gint compare_rotation_distances(gconstpointer left, gconstpointer right)
 {
     const scored_machine *candidate = left, *other = right;
-    return candidate->turn < other->turn ? -1 : candidate->turn > other->turn;
+    return candidate->rotation_distance < other->rotation_distance
+               ? -1
+               : candidate->rotation_distance > other->rotation_distance;
 }
 
 static gint compare_scores(gconstpointer left, gconstpointer right)
@@ -53,11 +55,12 @@
         return -1;
     if (mv_score_is_better(&other->score, &candidate->score))
         return 1;
-    return compare_turns(left, right);
+    return compare_rotation_distances(left, right);
 }
 
-/* Machines with room for a task of the job, best first; `cached` tells whether any machine at all,
- * with room or without, has its image. */
+/* Returns the machines with room for a task of the job, best first; the caller frees the array.
+ * Sets `*cached` to whether the job's image is on any machine of the job's shard that the job
+ * allows and that is not draining, with room or without. */
 static GArray *score_machines(mv_scheduler *scheduler, mv_job *job, bool *cached)
 {
     const mv_context *context = scheduler->context;
@@ -68,14 +71,16 @@
         mv_machine *machine = g_ptr_array_index(schedulable, i);
         if (machine->shard != job->home_shard || !mv_job_allows_machine(context, job, machine))
             continue;
-        /* A drained machine is used last: no task waits for room on it. */
-        bool counts = !machine->draining && mv_machine_has_image(machine, job->image);
-        *cached = *cached || counts;
+        /* The image on a draining machine does not count: a draining machine is used last, so no
+         * task waits for room on it. */
+        bool image_usable = !machine->draining && mv_machine_has_image(machine, job->image);
+        *cached = *cached || image_usable;
         if (!mv_machine_fits_job(context, job, machine))
             continue;
         scored_machine candidate = {.machine = machine,
                                     .score = mv_score_machine(scheduler, job, machine),
-                                    .turn = mv_scheduler_turn_of(scheduler, machine)};
+                                    .rotation_distance =
+                                        mv_scheduler_rotation_distance(scheduler, machine)};
         g_array_append_val(candidates, candidate);
     }
     g_array_sort(candidates, compare_scores);
@@ -83,8 +88,9 @@
     return candidates;
 }
 
-/* The end of the machines whose score is as good as that at `from`; they come in turn from the
- * machine that is next now. */
+/* Returns the index after the last candidate whose score equals the score of the candidate at
+ * `from`. Sorts these equal candidates in rotation order, beginning with the machine that is next
+ * in the rotation now. */
 static guint end_of_group(const mv_scheduler *scheduler, GArray *candidates, guint from)
 {
     scored_machine *first = &g_array_index(candidates, scored_machine, from);
@@ -93,10 +99,11 @@
         scored_machine *candidate = &g_array_index(candidates, scored_machine, end);
         if (mv_score_is_better(&first->score, &candidate->score))
             break;
-        candidate->turn = mv_scheduler_turn_of(scheduler, candidate->machine);
+        candidate->rotation_distance =
+            mv_scheduler_rotation_distance(scheduler, candidate->machine);
         end++;
     }
-    qsort(first, end - from, sizeof *first, compare_turns);
+    qsort(first, end - from, sizeof *first, compare_rotation_distances);
     return end;
 }
 
@@ -104,7 +111,8 @@
 
 static uint64_t next_attempt(mv_scheduler *scheduler, const mv_machine *machine)
 {
-    /* The term makes attempts of successive owners differ, the counter those of one owner. */
+    /* The fencing token (a term) in the high bits keeps attempt numbers of successive owners of the
+     * shard distinct; the counter in the low bits keeps attempt numbers of one owner distinct. */
     uint64_t term = mv_machine_fencing_token(machine);
     return (term << MV_ATTEMPT_BITS) | (++scheduler->attempts & ATTEMPT_COUNTER_MASK);
 }
@@ -138,7 +146,9 @@
              mv_machine_has_image(machine, job->image));
 }
 
-/* A machine that has the image may get room: better wait for it than fetch the image here. */
+/* Returns whether the job's tasks wait instead of starting on `best`. If `best` would have to fetch
+ * the image and another machine has the image, that machine may get room. Waiting for that room is
+ * better than fetching the image again, up to the limit that mv_image_wait_s() sets. */
 static bool should_wait_for_image(const mv_context *context, const mv_job *job,
                                   const scored_machine *best, bool cached)
 {
@@ -147,23 +157,25 @@
     return context->clock.now < job->ready_at + mv_image_wait_s(context, job, best->machine);
 }
 
-/* A run of equally good machines, and how many tasks of the job are to stay pending. */
+/* Candidates with equal scores, from index `from` to before `to`, and the smallest number of tasks
+ * of the job that must stay pending. */
 typedef struct {
     const GArray *candidates; /* scored_machine */
     guint from, to;
-    guint remaining_min;
+    guint pending_min;
 } machine_group;
 
 typedef enum { BIND_GROUP_FULL, BIND_FINISHED } bind_result;
 
-/* Binds tasks to one machine as long as it has room, or one task; BIND_FINISHED: the quota is
- * reached, or nothing is left to bind. */
+/* Binds tasks of the job to a machine until the machine has no room, or only one task if `one_task`
+ * is set. Sets `*bound` if a task was bound. Returns BIND_FINISHED if the team's quota is reached
+ * or no further task may be bound. */
 static bind_result bind_to_machine(mv_scheduler *scheduler, mv_job *job, mv_machine *machine,
-                                   guint remaining_min, bool one_task, bool *bound)
+                                   guint pending_min, bool one_task, bool *bound)
 {
     const mv_context *context = scheduler->context;
     while (mv_machine_fits_job(context, job, machine) && mv_job_zones_allow(job, machine)) {
-        if (job->pending->len <= remaining_min || !mv_quota_allows(context, job))
+        if (job->pending->len <= pending_min || !mv_quota_allows(context, job))
             return BIND_FINISHED;
         bind_task(scheduler, job, machine);
         *bound = true;
@@ -173,8 +185,10 @@
     return BIND_GROUP_FULL;
 }
 
-/* One task on each machine of a group, again and again; or, where the fullest comes first, as many
- * as it takes on one after the other. */
+/* Binds tasks of the job to the machines of a group. If the job's tasks are smaller than the
+ * largest task of all owned jobs, the machines with the fewest free cores come first, and each
+ * machine is filled before the next machine gets a task. Otherwise each machine gets one task per
+ * pass until no machine has room. */
 static bind_result bind_to_group(mv_scheduler *scheduler, mv_job *job, const machine_group *group)
 {
     const bool fullest_first = job->spec.cores < scheduler->largest_task_cores;
@@ -183,7 +197,7 @@
         bound = false;
         for (guint i = group->from; i < group->to; i++) {
             mv_machine *machine = g_array_index(group->candidates, scored_machine, i).machine;
-            if (bind_to_machine(scheduler, job, machine, group->remaining_min, !fullest_first,
+            if (bind_to_machine(scheduler, job, machine, group->pending_min, !fullest_first,
                                 &bound) == BIND_FINISHED)
                 return BIND_FINISHED;
         }
@@ -203,7 +217,8 @@
     return NULL;
 }
 
-/* Replicas are bound one by one: each changes the scores of machines for its mates. */
+/* Binds replicas one by one and scores all machines again for each replica, because a bound replica
+ * changes the scores of machines for the other replicas of the same service. */
 static void bind_replicas(mv_scheduler *scheduler, mv_job *job)
 {
     const mv_context *context = scheduler->context;
@@ -217,8 +232,10 @@
     }
 }
 
-/* Whether a task that asks for no more than this one found no machine in this round. Under overload
- * most jobs learn so without a look at the fleet. */
+/* Returns whether a task of this job cannot find a machine in this round, because a task of another
+ * job of the shard found none although the other task requests no more resources and accepts at
+ * least the same machines. Under overload this check rejects most jobs without examining the
+ * fleet. */
 static bool is_known_unschedulable(const mv_scheduler *scheduler, mv_job *job)
 {
     const uint32_t types = mv_job_type_mask(scheduler->context, job);
@@ -234,6 +251,8 @@
     return false;
 }
 
+/* Records that no machine has room for a task of the job, for is_known_unschedulable(). A job with
+ * a zone or a zone rule is not recorded, because machines in other zones may still have room. */
 static void remember_unschedulable(mv_scheduler *scheduler, mv_job *job)
 {
     const mv_job_spec *spec = &job->spec;
@@ -242,16 +261,18 @@
         g_ptr_array_add(scheduler->unschedulable, job);
 }
 
-/* What is bound to each machine does not change another's score, so one sorted list serves all
- * tasks of the job. */
+/* Binds tasks of a job that is not a service. A task bound to one machine does not change the score
+ * of any other machine, so one sorted list of machines serves all tasks of the job. A severely
+ * starved job precedes guaranteed jobs, so only one of its tasks is bound: guarantees lose no more
+ * than that. */
 static void bind_tasks(mv_scheduler *scheduler, mv_job *job)
 {
     bool cached;
     const bool one_task = job->starvation_level > 1 && job->pending->len;
     g_autoptr(GArray) candidates = score_machines(scheduler, job, &cached);
     machine_group group = {.candidates = candidates,
-                           .remaining_min = one_task ? job->pending->len - 1 : 0};
-    for (; group.from < candidates->len && job->pending->len > group.remaining_min;
+                           .pending_min = one_task ? job->pending->len - 1 : 0};
+    for (; group.from < candidates->len && job->pending->len > group.pending_min;
          group.from = group.to) {
         const scored_machine *first = &g_array_index(candidates, scored_machine, group.from);
         if (should_wait_for_image(scheduler->context, job, first, cached))
@@ -260,7 +281,7 @@
         if (bind_to_group(scheduler, job, &group) == BIND_FINISHED)
             return;
     }
-    if (job->pending->len > group.remaining_min)
+    if (job->pending->len > group.pending_min)
         remember_unschedulable(scheduler, job);
 }
 
@@ -276,7 +297,9 @@
 
 /* --- starved jobs --- */
 
-/* The machine that lacks least for a task of the job; NULL: none may take it. */
+/* Returns the machine that will lack the least for a task of the job once the tasks that are
+ * stopping have ended: the smallest sum of missing cores and missing GB of memory. Returns NULL if
+ * the job allows no schedulable machine of its shard. */
 static mv_machine *closest_machine(const mv_scheduler *scheduler, mv_job *job)
 {
     const mv_context *context = scheduler->context;
@@ -297,8 +320,10 @@
     return closest;
 }
 
-/* The same for the quota of its team, unless replicas, which do not end, leave no room for it:
- * reserved for nothing, it kept a lost replica from coming back. */
+/* Reserves cores of the team's quota for one task of the starved job, so that the team's other jobs
+ * do not use them up. If the team's replicas leave too few cores of the limit for the task, nothing
+ * is reserved: replicas do not end, so the task could not start anyway, and the useless reservation
+ * kept a lost replica from being placed again. */
 static void reserve_quota(const mv_job *job)
 {
     mv_team *team = job->team;
