--- a/src/coordination/autoscaling/adoption.c
+++ b/src/coordination/autoscaling/adoption.c
@@ -67,7 +67,8 @@
     return member;
 }
 
-/* No token is lower than 0 and none is raised by it; there is nothing to carry out. */
+/* Sends a command without entries, so the agent has nothing to execute. The command carries fencing
+ * token 0: no token is lower, so the command does not raise the machine's token. */
 static void send_probe(mv_autoscaler *autoscaler, const mv_partition_member *member,
                        uint64_t agent_epoch)
 {
@@ -85,8 +86,10 @@
     g_hash_table_insert(autoscaler->unknown_probes, probe->member.id, probe);
 }
 
-/* Nothing is older than the first leader; and until the fleet's size is seen there is one shard,
- * which gets all the first jobs. */
+/* Returns whether a heartbeat is enough to adopt a machine. This is so only in the first seconds of
+ * the very first leader. No machine is older than that leader. A probe would also delay the moment
+ * at which the leader knows the size of the fleet, and until then there is only one shard, which
+ * gets all the first jobs. */
 static bool adopts_at_once(const mv_membership *membership)
 {
     double adopts_until = membership->leading_since + MV_INITIAL_ADOPTION_S;
--- a/src/coordination/autoscaling/capacity_bins.c
+++ b/src/coordination/autoscaling/capacity_bins.c
@@ -23,7 +23,7 @@
     g_array_append_val(bins, bin);
 }
 
-/* Whether a machine is on its way out. */
+/* Returns whether a machine is about to leave its shard, so that its capacity does not count. */
 static bool is_leaving(const mv_machine *machine)
 {
     const mv_machine_summary *summary = &machine->summary;
@@ -91,7 +91,8 @@
     return bin->shard == shard && type_allowed && (!bin->spot || demand->spot) && zone_allowed;
 }
 
-/* How many such tasks the machine takes once only replicas are left on it. */
+/* Returns how many such tasks fit on the machine next to its replicas, when no other task runs
+ * there. */
 static unsigned slots_beside_services(const mv_machine_catalog *catalog,
                                       const mv_resource_demand *demand, const mv_capacity_bin *bin)
 {
--- a/src/coordination/autoscaling/capacity_bins.h
+++ b/src/coordination/autoscaling/capacity_bins.h
@@ -1,32 +1,47 @@
-/** Bin packing: what the machines of each shard have, there or coming, and what fits into it. */
+/**
+ * Bin packing: the capacity of each shard's machines, present or expected, and the tasks that fit
+ * into it.
+ */
 #ifndef MV_CAPACITY_BINS_H
 #define MV_CAPACITY_BINS_H
 #include "coordination/autoscaling/autoscaler.h"
 
-/** A machine that is there, booting, asked for or about to be recorded. */
+/** A machine that runs, boots, is requested from the cloud, or is about to join a partition. */
 typedef struct {
-    double cores, gpus, ram_gb;           /**< not packed yet */
-    double service_cores, service_ram_gb; /**< by replicas */
+    double cores, gpus, ram_gb;           /**< free: neither in use nor packed with a task */
+    double service_cores, service_ram_gb; /**< in use by replicas */
     int type_index;
-    const char *zone_name; /**< owned by the machine, request or record it comes from */
+    const char *zone_name; /**< owned by the machine, request or catalog that the bin describes */
     bool spot;
     const mv_shard *shard;
 } mv_capacity_bin;
 
-/** All machines of all shards, mv_capacity_bin; owned by the caller. */
+/**
+ * Returns a bin (mv_capacity_bin) for each machine of each shard, also for requested and joining
+ * machines. The caller owns the array.
+ */
 GArray *mv_capacity_bins_collect(const mv_autoscaler *autoscaler);
-/** Adds an empty machine of a type; nothing for a negative one. */
+/** Adds a bin for an empty machine of a type; adds none if `type_index` is negative. */
 void mv_capacity_bins_add(GArray *bins, const mv_machine_catalog *catalog, int type_index,
                           const char *zone_name, bool spot, const mv_shard *shard);
-/** Takes resources for `count` of the demanded tasks out of the bins; returns how many are left. */
+/**
+ * Packs up to `count` of the demanded tasks into bins of the shard, and subtracts their resources
+ * from the bins. Returns the number of tasks that did not fit.
+ */
 unsigned mv_capacity_bins_pack(GArray *bins, const mv_resource_demand *demand,
                                const mv_shard *shard, unsigned count);
-/** Whether some machine of the shard would take such a task once all has ended there that will. */
+/**
+ * Returns whether such a task would fit on some machine of the shard after all tasks there except
+ * replicas have ended.
+ */
 bool mv_capacity_bins_could_take(const GArray *bins, const mv_machine_catalog *catalog,
                                  const mv_resource_demand *demand, const mv_shard *shard);
-/** Slots that a reserve lacks, where whatever is not a replica may be stopped. */
+/**
+ * Returns how many slots the shard's machines lack for a reserve. Batch tasks do not reduce the
+ * slots of a machine, because they may be stopped; replicas do.
+ */
 unsigned mv_capacity_bins_missing_slots(const GArray *bins, const mv_machine_catalog *catalog,
                                         const mv_resource_demand *reserve, const mv_shard *shard);
-/** Cores of all bins, used or not. */
+/** Returns the cores of all bins, in use or free. */
 double mv_capacity_bins_total_cores(const GArray *bins, const mv_machine_catalog *catalog);
 #endif
