--- a/src/coordination/autoscaling/cloud_lists.c
+++ b/src/coordination/autoscaling/cloud_lists.c
@@ -4,10 +4,10 @@
 #include "protocol/names.h"
 #include "telemetry/log.h"
 
-/* A request without an answer is made anew after so many times its time-out. */
+/* A list request that got no response is sent again after this many cloud time-outs. */
 #define TYPES_TIMEOUTS 2.0
 #define LIST_TIMEOUTS 4.0
-/* Types that are not known, or not recorded, are asked for again after so many seconds. */
+/* Seconds between requests for the machine types, until the types are known and recorded. */
 #define TYPES_RETRY_S 1
 
 static double timeout_s(double timeouts)
@@ -61,8 +61,9 @@
 
 /* --- types --- */
 
-/* Controllers that start while the cloud is unavailable take the types from this record; without it
- * none of them could accept a job until the cloud was back. */
+/* Records the machine types in the state service, if this controller is the leader and there is no
+ * record yet. Controllers that start while the cloud is unavailable load the types from this
+ * record; without it, none of them could accept a job until the cloud is available again. */
 static void record_types(const mv_autoscaler *autoscaler)
 {
     const mv_membership *membership = autoscaler->membership;
@@ -70,7 +71,8 @@
     if (!mv_membership_is_leader(membership) || context->catalog.revision)
         return;
     g_autoptr(GBytes) packed = mv_machine_types_pack(context->catalog.types);
-    /* MessagePack is shorter than the form that the limit counts, by less than half here. */
+    /* The limit applies to a longer encoding of the record than MessagePack. That encoding is less
+     * than twice as long for this record. */
     if (2 * g_bytes_get_size(packed) > context->limits.value_bytes) {
         mv_log_limited(MV_LOG_INFO, "limit_too_small", "limit=value_kb record=" KEY_MACHINE_TYPES);
         return;
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -25,9 +25,9 @@
     return cheapest;
 }
 
-/* How long an idle machine is kept: the dearer, the shorter; shortest, once it is drained. The
- * cheapest of the cloud is kept for the full time, for it costs little and takes long to boot
- * again. */
+/* Returns how many seconds an idle machine is kept. A machine of the cloud's cheapest price per
+ * core is kept for the full idle time-out, because it costs little and a replacement takes long to
+ * boot. A more expensive machine is kept for less, and a draining machine for the minimum. */
 static double idle_timeout_s(const mv_context *context, const mv_machine *machine)
 {
     if (machine->draining)
@@ -38,7 +38,8 @@
     return MAX(MV_IDLE_TIMEOUT_MIN_S, timeout_s * share);
 }
 
-/* Idle for long enough, and its second minute has begun at least. */
+/* Returns whether a machine has been idle for its time-out and is at least MV_CHARGE_MIN_S old. The
+ * cloud charges that first minute in full, so an earlier release saves nothing. */
 static bool is_due_for_release(const mv_context *context, const mv_machine *machine)
 {
     if (machine->release_pending || !machine->confirmed || machine->placements->len ||
@@ -67,9 +68,9 @@
 
 /* --- transfer --- */
 
-/* Types of machine that pending tasks of the shard could use. */
+/* Machine types that pending tasks of the shard could use; one bit for each type. */
 typedef struct {
-    uint32_t spot, ordinary;
+    uint32_t spot, ordinary; /* of spot machines, of ordinary machines */
 } demanded_types;
 
 static demanded_types types_demanded_locally(const mv_autoscaler *autoscaler, const mv_shard *shard)
@@ -106,11 +107,12 @@
     machine->transferable_revision = mv_shard_segment(shard, machine->segment)->occupancy_revision;
 }
 
-/* What decides over transfers of a shard's machines at one moment. */
+/* The inputs for one pass that decides which machines of a shard are transferable. */
 typedef struct {
-    bool demanded_elsewhere, starving_elsewhere;
+    bool demanded_elsewhere, starving_elsewhere; /* whether other shards need idle machines, and
+                                                    whether they do so for starving jobs */
     demanded_types demanded_here;
-    unsigned retained; /* machines that are still to be kept back for what comes next */
+    unsigned retained; /* idle machines that this pass still has to retain for future tasks */
 } transfer_policy;
 
 static void update_transferable(mv_autoscaler *autoscaler, mv_shard *shard, mv_machine *machine,
@@ -138,9 +140,11 @@
         declare_transferable(shard, machine);
 }
 
-/* Retained are machines that a pending task of ours could use, and a few for what comes next. While
- * any pending task retained all, one that fitted only the larger type held up hundreds. A few that
- * every shard retained were enough to leave a job waiting without end. */
+/* The owner retains machines that a pending task of its shard could use, and a few for future
+ * tasks. A pending task retains only machines of the types that it could use: when any pending task
+ * retained all machines, one task that fitted only the larger type blocked hundreds of machines. If
+ * a job of another shard starves, the owner retains none for future tasks: when every shard
+ * retained a few, such a job waited without end. */
 void mv_idle_machines_update_transferable(mv_autoscaler *autoscaler, mv_shard *shard)
 {
     const mv_context *context = autoscaler->context;
@@ -210,7 +214,8 @@
            mv_machine_is_schedulable(context, machine);
 }
 
-/* The machine that is being emptied, and not gone yet; NULL: none. */
+/* Returns the machine of the shard from which batch work is being evicted and which has not left
+ * the shard yet; NULL: there is none. */
 static mv_machine *find_evicting(const mv_agents *agents, const mv_shard *shard)
 {
     for (guint i = 0; i < agents->rotation->len; i++) {
--- a/src/coordination/autoscaling/idle_machines.h
+++ b/src/coordination/autoscaling/idle_machines.h
@@ -1,24 +1,27 @@
 /**
- * What the owner of a shard does with machines that its own work does not need: it returns idle
- * ones to the cloud, and lets other shards have some.
+ * How the owner of a shard handles machines that the shard's own work does not need. The owner
+ * returns idle machines to the cloud, or makes them available to other shards.
  *
- * A machine is declared transferable when the leader says that others want some. It then gets no
- * work. The leader moves it on condition that its occupancy record still has the revision that the
- * declaration named; to take that back, the owner writes the record anew. So no move, however late
- * it is carried out, meets a machine that was put to work again.
+ * If the leader reports that other shards need idle machines, the owner declares some of its own
+ * transferable, and places no tasks on them from then on. The declaration names the revision of
+ * the occupancy record of the machine's segment. The leader's transfer is a compare-and-swap that
+ * requires this revision. To withdraw the declaration, the owner writes the occupancy record again,
+ * which changes the revision. Therefore a transfer that is executed late fails instead of moving a
+ * machine that has tasks again.
  */
 #ifndef MV_IDLE_MACHINES_H
 #define MV_IDLE_MACHINES_H
 #include "coordination/autoscaling/autoscaler.h"
 
-/** Marks machines for release that have been idle for long enough. */
+/** Marks machines of the shard that have been idle for long enough for release to the cloud. */
 void mv_idle_machines_release(mv_autoscaler *autoscaler, mv_shard *shard);
-/** Declares idle machines transferable, or takes that back. */
+/** Declares idle machines of the shard transferable, or withdraws the declaration. */
 void mv_idle_machines_update_transferable(mv_autoscaler *autoscaler, mv_shard *shard);
 /**
- * Other shards have services and nothing that takes them, nor can more be had from the cloud, while
- * batch work runs here on what they could use: one machine at a time is emptied for them, the one
- * that loses least, as long as our own services keep their reserve.
+ * Evicts batch work from a machine that services of other shards need. This happens if the services
+ * have no machine and the cloud offers none, while batch work of this shard runs on a machine of a
+ * suitable type. Evicts from one machine at a time, the one where the least work is lost, and only
+ * if the shard's own services keep their reserve.
  */
 void mv_idle_machines_evict_for_services(mv_autoscaler *autoscaler, mv_shard *shard);
 #endif
--- a/src/coordination/autoscaling/instance_requests.c
+++ b/src/coordination/autoscaling/instance_requests.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* A request without an answer is repeated after so many seconds. */
+/* Seconds until a request that got no response is sent again. */
 #define REQUEST_RETRY_S 1
 
 static char *offer_key(const char *type_name, const char *zone_name, bool spot)
@@ -16,8 +16,10 @@
 
 /* --- offers --- */
 
-/* The price of a machine for each task it would take, times what waiting for it costs: what is
- * urgent waits for the boot; a replica, later, for the image. */
+/* Returns the price of a machine per task that would run on it, multiplied by the cost of waiting.
+ * Urgent tasks wait until the machine has booted, so the boot time counts for their demand. A
+ * replica that will use a reserve later waits only for its image, so the fetch time of the image
+ * counts for a reserve. */
 static double weighted_price(const mv_machine_type *type, const mv_resource_demand *demand,
                              bool spot, unsigned tasks)
 {
@@ -34,7 +36,8 @@
     return g_hash_table_contains(autoscaler->refused_offers, key);
 }
 
-/* The better of an offer and those of one type; `type_index` -1 in `best`: none yet. */
+/* Replaces `best` by the cheapest offer of one machine type, if that offer is cheaper. A
+ * `type_index` of -1 in `best` means that there is no offer yet. */
 static void consider_type(const mv_autoscaler *autoscaler, const mv_resource_demand *demand,
                           guint type_index, unsigned tasks, mv_instance_offer *best)
 {
@@ -96,7 +99,9 @@
 
 /* --- requests --- */
 
-/* While an offer is being asked for, what it can still give is not known. */
+/* Returns whether a request for the same type, zone, kind and shard is pending. Until the cloud
+ * answers that request, the leader does not know how much capacity remains, so it sends no other.
+ */
 static bool is_requested(const mv_autoscaler *autoscaler, const mv_instance_offer *offer)
 {
     const mv_machine_type *type =
@@ -130,7 +135,7 @@
     if (is_requested(autoscaler, offer))
         return;
     mv_instance_request *request = g_new0(mv_instance_request, 1);
-    /* The leader's term makes the name unlike any other leader's. */
+    /* The name contains the leader's term, so no other leader uses the same name. */
     g_snprintf(request->request_name, sizeof request->request_name, "r-%" G_GUINT64_FORMAT "-%u",
                autoscaler->membership->leader.term, ++autoscaler->request_count);
     g_strlcpy(request->type_name, type->name, sizeof request->type_name);
@@ -214,7 +219,9 @@
     if (index < 0)
         return;
     mv_instance_request *request = g_ptr_array_index(autoscaler->requests, index);
-    if (!machines && !refused) { /* it may have been carried out: the same name asks again */
+    /* The cloud may have executed a request that got no response. The retry has the same name, so
+     * the cloud does not start the machines a second time. */
+    if (!machines && !refused) {
         request->retry_at = context->clock.now + REQUEST_RETRY_S;
         return;
     }
