--- a/src/coordination/autoscaling/planner.c
+++ b/src/coordination/autoscaling/planner.c
@@ -11,8 +11,8 @@
 typedef struct {
     mv_autoscaler *autoscaler;
     GArray *bins;       /* mv_capacity_bin */
-    GArray *offers;     /* mv_instance_offer: what is to be requested */
-    bool small_backlog; /* the fleet will soon have done what waits */
+    GArray *offers;     /* mv_instance_offer: machines that this run will request */
+    bool small_backlog; /* the fleet can do all pending work in less than MV_BACKLOG_MIN_S */
 } plan;
 
 /* --- machines of other shards --- */
@@ -25,7 +25,8 @@
     return type_allowed && zone_allowed && purpose_allowed && (!machine->spot || demand->spot);
 }
 
-/* Whether its owner declared it transferable, and has not taken that back. */
+/* Returns whether the owner of a machine declared the machine transferable, as far as a recent
+ * summary says, and has not withdrawn the declaration. */
 static bool is_declared_transferable(const mv_context *context, const mv_machine *machine)
 {
     const mv_machine_summary *summary = &machine->summary;
@@ -45,7 +46,8 @@
            demand_allows(demand, machine);
 }
 
-/* Takes transferable machines for the tasks; how many tasks are left without. */
+/* Appends transferable machines for `left` tasks to `machines`, and marks them as moving. Returns
+ * the number of tasks that still have no machine. */
 static unsigned take_transferable(const mv_autoscaler *autoscaler, const mv_resource_demand *demand,
                                   const mv_shard *to, unsigned left, GPtrArray *machines)
 {
@@ -66,7 +68,8 @@
     return left;
 }
 
-/* From one shard at a time, the rest follows. */
+/* Transfers the machines that belong to the same shard as the first one. A transfer takes machines
+ * from one shard only; a later run of the planner transfers the machines of other shards. */
 static void transfer_machines(mv_autoscaler *autoscaler, mv_shard *to, const GPtrArray *machines)
 {
     if (machines->len) {
@@ -78,7 +81,9 @@
 
 /* --- instances from the cloud --- */
 
-/* One kind at a time: a refusal shows where capacity ends. */
+/* Plans instances of the offer's type, zone and kind for the tasks without a machine. Each run
+ * plans one offer per demand, because a refusal by the cloud shows where the capacity of that offer
+ * ends; the next run then chooses another one. */
 static void plan_instances(plan *plan, const mv_resource_demand *demand, const mv_shard *shard,
                            unsigned left, mv_instance_offer *offer)
 {
@@ -95,7 +100,9 @@
         mv_capacity_bins_pack(plan->bins, demand, shard, left);
 }
 
-/* What the fleet will have done before another machine is up needs none. */
+/* Returns whether a demand can wait for the shard's machines. If the fleet will have done the
+ * pending work before another machine has booted, then a new machine is of no use. Urgent demand
+ * never waits. */
 static bool can_wait(const plan *plan, const mv_resource_demand *demand, const mv_shard *shard)
 {
     const mv_machine_catalog *catalog = &plan->autoscaler->context->catalog;
@@ -103,9 +110,9 @@
            mv_capacity_bins_could_take(plan->bins, catalog, demand, shard);
 }
 
-/* --- a shard --- */
+/* --- one shard --- */
 
-/* How many of the demanded tasks the shard's machines, there or coming, do not take. */
+/* Returns how many of the demanded tasks fit on no machine of the shard, present or expected. */
 static unsigned count_unmet(plan *plan, const mv_resource_demand *demand, const mv_shard *shard)
 {
     const mv_machine_catalog *catalog = &plan->autoscaler->context->catalog;
@@ -118,7 +125,8 @@
                         GPtrArray *moved)
 {
     unsigned left = count_unmet(plan, demand, shard);
-    /* Machines kept for a reserve that nobody needs yet were kept from work for nothing. */
+    /* The reserve of a shard without services does not count as unmet. If it counted, owners of
+     * other shards would withhold idle machines from work for a reserve that no service needs. */
     bool counts_as_unmet = !demand->reserve || demand->service;
     shard->demand_unmet = shard->demand_unmet || (left > 0 && counts_as_unmet);
     shard->starving = shard->starving || (left > 0 && demand->starving);
@@ -127,7 +135,8 @@
         return;
     mv_instance_offer offer;
     bool offered = mv_instance_offer_cheapest(plan->autoscaler, demand, left, &offer);
-    /* Nothing to be had from the cloud: what was refused is not asked for again at once. */
+    /* Without an offer, the cloud has no capacity for the replicas: an offer that the cloud refused
+     * is left out until its back-off ends. */
     if (demand->service && !offered)
         shard->service_types_lacking |= demand->type_mask;
     if (offered && !can_wait(plan, demand, shard))
@@ -162,7 +171,7 @@
     }
 }
 
-/* How long the fleet, with what is booting, would work on all that waits. */
+/* Returns how many seconds the fleet, with its booting machines, needs for all pending work. */
 static double backlog_s(const mv_context *context, const GArray *bins)
 {
     double cores = mv_capacity_bins_total_cores(bins, &context->catalog);
--- a/src/coordination/autoscaling/planner.h
+++ b/src/coordination/autoscaling/planner.h
@@ -1,11 +1,12 @@
-/** How many machines of which type the leader wants for each shard, and where they come from. */
+/** The leader's planner: how many machines of which type each shard gets, and from where. */
 #ifndef MV_PLANNER_H
 #define MV_PLANNER_H
 #include "coordination/autoscaling/autoscaler.h"
 
 /**
- * Plans machines for all shards, if it is due: first what other shards declared transferable, then
- * instances from the cloud. Notes what remains unmet.
+ * Plans machines for the demand of all shards, if the planning interval has passed. Transfers
+ * machines that other shards declared transferable first, and requests instances from the cloud for
+ * the rest. Records in each shard which demand remains unmet.
  */
 void mv_planner_run(mv_autoscaler *autoscaler);
 #endif
--- a/src/coordination/autoscaling/reconciler.c
+++ b/src/coordination/autoscaling/reconciler.c
@@ -18,7 +18,8 @@
     }
 }
 
-/* What a leader had under way is no longer, or not yet, ours. */
+/* Discards requests, lists and demand when this controller gains or loses leadership. A controller
+ * that has lost it must not continue the requests, and a new leader has none of its own yet. */
 static void leadership_changed(mv_autoscaler *autoscaler)
 {
     g_ptr_array_set_size(autoscaler->requests, 0);
@@ -50,7 +51,8 @@
     mv_demand_publish(autoscaler);
     if (mv_membership_update_leading(membership))
         leadership_changed(autoscaler);
-    /* After that: a new leader's first list was asked for and forgotten at once. */
+    /* This call must follow leadership_changed(), which discards list requests. In the other order,
+     * a new leader's first machine list request was discarded as soon as it had been sent. */
     mv_cloud_lists_request(autoscaler);
     if (!membership->leading)
         return;
--- a/src/coordination/autoscaling/reconciler.h
+++ b/src/coordination/autoscaling/reconciler.h
@@ -4,8 +4,9 @@
 #include "coordination/autoscaling/autoscaler.h"
 
 /**
- * As owner of shards publishes their demand; as leader reconciles partitions with what is there,
- * plans the fleet, scales out and in.
+ * Does the periodic work of this controller. As the owner of shards, publishes their demand. As the
+ * leader, also reconciles partitions with the known machines, plans the fleet, and scales out and
+ * in.
  */
 void mv_reconciler_tick(mv_autoscaler *autoscaler);
 #endif
--- a/src/coordination/autoscaling/scalable_jobs.h
+++ b/src/coordination/autoscaling/scalable_jobs.h
@@ -1,8 +1,8 @@
-/** Which pending tasks of a shard could use more machines. */
+/** Which pending tasks could use more machines. */
 #ifndef MV_SCALABLE_JOBS_H
 #define MV_SCALABLE_JOBS_H
 #include "coordination/autoscaling/autoscaler.h"
 
-/** Pending tasks of the job that its team's quota has room for. */
+/** Returns how many pending tasks of the job fit into the remaining quota of its team. */
 unsigned mv_job_scalable_tasks(const mv_job *job);
 #endif
