--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -4,15 +4,18 @@
 #include "coordination/membership/partition_writer.h"
 #include "telemetry/log.h"
 
-/* A request without an answer is given up after so many times its time-out. */
+/* A request that got no response is given up after this many cloud time-outs. */
 #define REQUEST_TIMEOUTS 3.0
-/* Lists in a row without a machine that was listed: lists may go back in time, two agree. */
+/* Consecutive lists that lack a machine of an earlier list, after which the machine may be gone.
+ * One list is not enough, because the cloud may return a list older than the one before. */
 #define LISTS_MISSED_MAX 2
-/* Heartbeat intervals without one, for a machine that the cloud does not list any more, */
+/* Heartbeat intervals without a heartbeat after which a machine that is missing from the cloud's
+ * lists is released. */
 #define GONE_HEARTBEATS 2
-/* and for one that took too long to boot. */
+/* Heartbeat intervals without a heartbeat after which a machine that took too long to boot is
+ * released. */
 #define BOOT_HEARTBEATS 4
-/* How long a machine of an unknown type takes to boot, seconds. */
+/* Assumed boot time of a machine of unknown type, in seconds. */
 #define BOOT_DEFAULT_S 60
 
 static bool has_recent_summary(const mv_context *context, const mv_machine *machine)
@@ -20,7 +23,8 @@
     return machine->summary_at > 0 && machine->summary_at > context->clock.now - MV_DEMAND_TTL_S;
 }
 
-/* The cloud does not list it any more, and its owner receives no heartbeat of it. */
+/* Returns whether the cloud does not list a machine any more and the owner of the machine's shard
+ * receives no heartbeats from the machine. */
 static bool is_gone(const mv_context *context, const mv_machine *machine)
 {
     double quiet_s = context->settings->report_s * GONE_HEARTBEATS;
@@ -40,7 +44,7 @@
            took_too_long && quiet;
 }
 
-/* Why a machine should be returned; NULL: it should not. */
+/* Returns the reason to return a machine to the cloud; NULL: there is none. */
 static const char *release_reason(const mv_context *context, const mv_machine *machine)
 {
     if (machine->listed_failed)
@@ -53,9 +57,10 @@
         return "idle";
     if (machine->summary.failed)
         return "unresponsive";
-    /* Of a machine of our own shard we know more than our last summary says: one that a controller
-     * cut off had owned until then came to us, got work and was returned within the same tenth of
-     * a second. */
+    /* If the leader owns the machine's shard and has confirmed the machine by a heartbeat, then the
+     * leader knows more than the last summary, which may be of a previous owner. Without this rule,
+     * a machine that moved from an isolated controller's shard to the leader's got tasks and was
+     * released as never booted within the same tenth of a second. */
     bool known_better = machine->shard->owned && machine->confirmed;
     if (!SAFETY_CHECK(RECENT_HEARTBEAT, !known_better))
         return NULL;
--- a/src/coordination/autoscaling/shard_demands.c
+++ b/src/coordination/autoscaling/shard_demands.c
@@ -9,14 +9,15 @@
 
 #include <string.h>
 
-/* --- tasks that wait --- */
+/* --- pending tasks --- */
 
 static bool has_task_in_zone(const mv_job *job, guint zone)
 {
     return zone < job->tasks_in_zone->len && g_array_index(job->tasks_in_zone, unsigned, zone) > 0;
 }
 
-/* Where its next task has to be: the zone it asked for, or the one that its first task is in. */
+/* Returns the zone in which the next task of a job has to run: the zone that the job requires, or,
+ * if all its tasks must share a zone, the zone of the tasks that are placed. NULL: any zone. */
 static const char *required_zone(const mv_agents *agents, const mv_job *job)
 {
     if (job->spec.has_zone)
@@ -46,7 +47,8 @@
         .spot = spec->spot,
         .service = spec->service,
         .starving = mv_job_is_starving(context, job),
-        /* Room that a service waits for does not come by itself. */
+        /* Capacity that a service waits for does not become free by itself, so its demand is always
+         * urgent. */
         .urgent = job->guaranteed || spec->priority <= MV_PRIORITY_HIGH || spec->service,
         .count = count,
     };
@@ -79,8 +81,10 @@
 
 /* --- machines --- */
 
-/* A new owner knows of no task there until the machine has reported: one that had been quarantined
- * under an earlier grant was returned at work. */
+/* Returns whether a machine is quarantined and certainly runs no tasks. A new owner of the shard
+ * knows no task of a machine until the machine has reported under the owner's fencing token.
+ * Without that condition, a machine that had been quarantined under an earlier grant was returned
+ * to the cloud while it ran tasks. */
 static bool is_empty_and_quarantined(const mv_machine *machine)
 {
     bool rebuilt = machine->confirmed && !machine->unknown_tasks;
@@ -88,8 +92,10 @@
            !machine->placements->len;
 }
 
-/* Counts from the owner's own start: it cannot have received a heartbeat before. Without this every
- * failover released the whole fleet as never booted. */
+/* Returns the seconds since the owner received the last heartbeat from a machine, or since the
+ * owner began to accept the machine's heartbeats, if that is later. A new owner cannot have
+ * received one before. Without this rule, each failover released the whole fleet as never booted.
+ */
 static double heartbeat_age_s(const mv_context *context, const mv_shard *shard,
                               const mv_machine *machine)
 {
@@ -132,9 +138,10 @@
         .failed = machine->failed,
         .departing = is_departing(context, machine),
         .transferable_revision = machine->transferable_revision,
-        /* An owner that reaches no machine once took those that its predecessor had used for
-         * machines that never booted, and one that waited for its machine to show a raised token,
-         * that machine. */
+        /* An occupied machine has booted, because an owner has used it, even if this owner received
+         * no heartbeat from it. Without this rule, an owner that reached no machine reported all
+         * machines that its predecessor had used as never booted, and an owner that waited for a
+         * machine to show a raised fencing token reported that machine as never booted. */
         .has_booted = machine->last_heartbeat_at > 0 || machine->occupied,
         .recently_reported = is_recently_reported(context, machine),
         .evicted_for_services = machine->evicting,
@@ -143,12 +150,13 @@
     return summary;
 }
 
-/* How many machines of a shard are in some state. */
+/* Counts of a shard's machines by reachability. */
 typedef struct {
-    unsigned recently_reported;
-    unsigned unresponsive; /* their commands get no answer */
-    unsigned unreachable;  /* ... although their heartbeats may arrive */
-    unsigned confirmed;
+    unsigned recently_reported; /* the owner received a heartbeat lately */
+    unsigned unresponsive;      /* MV_PROBES_FAILED_MAX or more commands in a row got no response */
+    unsigned unreachable; /* MV_UNREACHABLE_COMMANDS or more commands got no response, although the
+                             heartbeats of the machine may arrive */
+    unsigned confirmed;   /* sent a heartbeat under the owner's present fencing token */
 } reachability;
 
 static GArray *summarize_machines(const mv_autoscaler *autoscaler, const mv_shard *shard,
@@ -172,7 +180,9 @@
 
 /* --- resigning --- */
 
-/* Of hundreds of machines one should report in every interval: one without any is proof enough. */
+/* Returns whether a shard of at least MV_LARGE_SHARD_MACHINES machines received no heartbeat in the
+ * last interval. Of hundreds of machines, at least one reports in every interval, so one interval
+ * without any heartbeat is enough to conclude that the owner is isolated. */
 static bool is_large_and_quiet(const mv_context *context, const mv_shard *shard)
 {
     double reported_at = MAX(shard->last_heartbeat_at, shard->listening_since);
@@ -181,8 +191,9 @@
            context->clock.now > reported_at + timeout_s;
 }
 
-/* Nobody answers us, or most get nothing of ours: it is rather we who are cut off than every
- * machine that died or became unreachable. */
+/* Returns whether the owner should give up the shard to another controller. If no machine reports
+ * to the owner, or most machines receive no command from the owner, then the owner is more likely
+ * isolated than all these machines have failed. */
 static bool should_resign(const mv_context *context, const mv_shard *shard,
                           const reachability *counts)
 {
@@ -249,7 +260,8 @@
     if (demand->shard >= context->shards->len)
         return NULL;
     mv_shard *shard = g_ptr_array_index(context->shards, demand->shard);
-    /* The term too: what was said under an earlier grant to the same process holds no longer. */
+    /* The term must match too: demand that the same process published under an earlier grant is
+     * stale. */
     bool same_grant = shard->holder.incarnation == demand->incarnation &&
                       shard->holder.term == demand->term &&
                       strcmp(shard->holder.node, demand->node) == 0;
