--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -24,7 +24,7 @@
 
 /** Progress of reading the cloud's machine list, which arrives page by page. */
 typedef struct {
-    uint64_t action_id;    /**< of the request for the next page; 0: none in flight */
+    uint64_t action_id;    /**< of the page request in flight; 0: none */
     double requested_at;   /**< when the first page was requested; 0: never */
     GHashTable *names;     /**< machine names received so far; NULL: no list was requested yet */
     mv_fleet_listing last; /**< summary of the last complete list */
--- a/src/coordination/autoscaling/capacity_bins.h
+++ b/src/coordination/autoscaling/capacity_bins.h
@@ -11,7 +11,7 @@
     double cores, gpus, ram_gb;           /**< free: neither in use nor packed with a task */
     double service_cores, service_ram_gb; /**< in use by replicas */
     int type_index;
-    const char *zone_name; /**< owned by the machine, request or catalog that the bin describes */
+    const char *zone_name; /**< owned by the machine, partition member, request or catalog */
     bool spot;
     const mv_shard *shard;
 } mv_capacity_bin;
--- a/src/coordination/autoscaling/cloud_lists.c
+++ b/src/coordination/autoscaling/cloud_lists.c
@@ -71,8 +71,8 @@
     if (!mv_membership_is_leader(membership) || context->catalog.revision)
         return;
     g_autoptr(GBytes) packed = mv_machine_types_pack(context->catalog.types);
-    /* The limit applies to a longer encoding of the record than MessagePack. That encoding is less
-     * than twice as long for this record. */
+    /* The value limit counts a longer encoding of the record than MessagePack. That encoding is
+     * less than twice as long for this record, so the check doubles the MessagePack length. */
     if (2 * g_bytes_get_size(packed) > context->limits.value_bytes) {
         mv_log_limited(MV_LOG_INFO, "limit_too_small", "limit=value_kb record=" KEY_MACHINE_TYPES);
         return;
--- a/src/coordination/autoscaling/cloud_lists.h
+++ b/src/coordination/autoscaling/cloud_lists.h
@@ -1,5 +1,4 @@
-/** Requests and processes the cloud's lists: the machine types with their prices, and the machines.
- */
+/** Reading of the cloud's lists: the machine types with their prices, and the machines. */
 #ifndef MV_CLOUD_LISTS_H
 #define MV_CLOUD_LISTS_H
 #include "coordination/autoscaling/autoscaler.h"
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -39,7 +39,7 @@
 }
 
 /* Returns whether a machine has been idle for its time-out and is at least MV_CHARGE_MIN_S old. The
- * cloud charges that first minute in full, so an earlier release saves nothing. */
+ * cloud charges at least MV_CHARGE_MIN_S for each machine, so an earlier release saves nothing. */
 static bool is_due_for_release(const mv_context *context, const mv_machine *machine)
 {
     if (machine->release_pending || !machine->confirmed || machine->placements->len ||
--- a/src/coordination/autoscaling/instance_requests.h
+++ b/src/coordination/autoscaling/instance_requests.h
@@ -22,7 +22,7 @@
     bool spot;
     double price; /**< per demanded task, weighted by the cost of waiting for the machine */
     const mv_shard *shard;
-    unsigned count; /**< of machines */
+    unsigned count; /**< number of machines */
 } mv_instance_offer;
 
 /**
--- a/src/coordination/autoscaling/shard_demands.c
+++ b/src/coordination/autoscaling/shard_demands.c
@@ -152,7 +152,7 @@
 
 /* Counts of a shard's machines by reachability. */
 typedef struct {
-    unsigned recently_reported; /* the owner received a heartbeat lately */
+    unsigned recently_reported; /* the owner recently received a heartbeat */
     unsigned unresponsive;      /* MV_PROBES_FAILED_MAX or more commands in a row got no response */
     unsigned unreachable; /* MV_UNREACHABLE_COMMANDS or more commands got no response, although the
                              heartbeats of the machine may arrive */
@@ -192,8 +192,9 @@
 }
 
 /* Returns whether the owner should give up the shard to another controller. If no machine reports
- * to the owner, or most machines receive no command from the owner, then the owner is more likely
- * isolated than all these machines have failed. */
+ * to the owner and several answer no commands, or if the commands to most machines get no response,
+ * then the owner is more likely isolated than all these machines have failed or become unreachable.
+ */
 static bool should_resign(const mv_context *context, const mv_shard *shard,
                           const reachability *counts)
 {
