--- a/src/coordination/autoscaling/adoption.c
+++ b/src/coordination/autoscaling/adoption.c
@@ -90,7 +90,7 @@
  * the very first leader. No machine is older than that leader. A probe would also delay the moment
  * at which the leader knows the size of the fleet, and until then there is only one shard, which
  * gets all the first jobs. */
-static bool adopts_at_once(const mv_membership *membership)
+static bool adopts_without_probe(const mv_membership *membership)
 {
     double adopts_until = membership->leading_since + MV_INITIAL_ADOPTION_S;
     return membership->leader.term == MV_TERM_INITIAL &&
@@ -102,7 +102,7 @@
     const mv_membership *membership = autoscaler->membership;
     GHashTable *probes = autoscaler->unknown_probes;
     mv_partition_member member = member_of_heartbeat(autoscaler->context, heartbeat);
-    if (adopts_at_once(membership)) {
+    if (adopts_without_probe(membership)) {
         mv_adoption_adopt(autoscaler, &member);
         return;
     }
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -6,7 +6,7 @@
 #include "coordination/scheduling/services.h"
 #include "telemetry/log.h"
 
-static bool was_demanded_lately(const mv_context *context, double demanded_at)
+static bool was_demanded_recently(const mv_context *context, double demanded_at)
 {
     return demanded_at > 0 && context->clock.now < demanded_at + MV_DEMAND_TTL_S;
 }
@@ -151,8 +151,8 @@
     const mv_received_peer_demand *peers = &autoscaler->peer_demand;
     const GPtrArray *rotation = autoscaler->agents->rotation;
     transfer_policy policy = {
-        .demanded_elsewhere = was_demanded_lately(context, peers->idle_machines_needed_at),
-        .starving_elsewhere = was_demanded_lately(context, peers->starving_at),
+        .demanded_elsewhere = was_demanded_recently(context, peers->idle_machines_needed_at),
+        .starving_elsewhere = was_demanded_recently(context, peers->starving_at),
         .demanded_here = types_demanded_locally(autoscaler, shard),
     };
     if (!policy.starving_elsewhere)
@@ -256,7 +256,7 @@
 void mv_idle_machines_evict_for_services(mv_autoscaler *autoscaler, mv_shard *shard)
 {
     const mv_received_peer_demand *peers = &autoscaler->peer_demand;
-    if (!was_demanded_lately(autoscaler->context, peers->service_types_needed_at)) {
+    if (!was_demanded_recently(autoscaler->context, peers->service_types_needed_at)) {
         cancel_evictions(autoscaler->agents, shard);
         return;
     }
--- a/src/coordination/autoscaling/instance_requests.c
+++ b/src/coordination/autoscaling/instance_requests.c
@@ -48,8 +48,8 @@
             continue;
         for (int spot = demand->spot ? 1 : 0; spot >= 0; spot--) {
             double price = weighted_price(type, demand, spot, tasks);
-            bool dearer = best->type_index >= 0 && price >= best->price;
-            if (dearer || was_refused(autoscaler, type, zone_name, spot))
+            bool costs_more = best->type_index >= 0 && price >= best->price;
+            if (costs_more || was_refused(autoscaler, type, zone_name, spot))
                 continue;
             *best = (mv_instance_offer){.type_index = (int)type_index,
                                         .zone_name = zone_name,
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -61,8 +61,8 @@
      * leader knows more than the last summary, which may be of a previous owner. Without this rule,
      * a machine that moved from an isolated controller's shard to the leader's got tasks and was
      * released as never booted within the same tenth of a second. */
-    bool known_better = machine->shard->owned && machine->confirmed;
-    if (!SAFETY_CHECK(RECENT_HEARTBEAT, !known_better))
+    bool known_from_heartbeat = machine->shard->owned && machine->confirmed;
+    if (!SAFETY_CHECK(RECENT_HEARTBEAT, !known_from_heartbeat))
         return NULL;
     return has_failed_to_boot(context, machine) ? "boot_timeout" : NULL;
 }
--- a/src/coordination/autoscaling/shard_demands.c
+++ b/src/coordination/autoscaling/shard_demands.c
@@ -198,10 +198,10 @@
 static bool should_resign(const mv_context *context, const mv_shard *shard,
                           const reachability *counts)
 {
-    bool nobody_reports = counts->recently_reported == 0 || is_large_and_quiet(context, shard);
-    bool unreported =
-        counts->unresponsive > 1 && nobody_reports && !mv_clock_is_overloaded(&context->clock);
-    return unreported || (shard->heartbeats_only && counts->unreachable > 1);
+    bool no_machine_reports = counts->recently_reported == 0 || is_large_and_quiet(context, shard);
+    bool lost_contact =
+        counts->unresponsive > 1 && no_machine_reports && !mv_clock_is_overloaded(&context->clock);
+    return lost_contact || (shard->heartbeats_only && counts->unreachable > 1);
 }
 
 static mv_shard_demand *build_shard_demand(const mv_autoscaler *autoscaler, mv_shard *shard)
@@ -305,7 +305,7 @@
            context->clock.now >= shard->demand_published_at + interval_s;
 }
 
-static void care_for_machines(mv_autoscaler *autoscaler, mv_shard *shard)
+static void manage_machines(mv_autoscaler *autoscaler, mv_shard *shard)
 {
     mv_services_update_reserve(autoscaler->scheduler, shard);
     mv_defragment(autoscaler->scheduler, shard);
@@ -339,7 +339,7 @@
         if (!is_due(context, shard))
             continue;
         shard->demand_published_at = context->clock.now;
-        care_for_machines(autoscaler, shard);
+        manage_machines(autoscaler, shard);
         publish(autoscaler, shard, build_shard_demand(autoscaler, shard));
     }
 }
