--- a/src/coordination/autoscaling/adoption.h
+++ b/src/coordination/autoscaling/adoption.h
@@ -23,8 +23,8 @@
 /**
  * Handles a heartbeat that the leader received from a machine in no partition. The heartbeat may be
  * a delayed copy from a machine that no longer exists, so the leader sends the machine a probe and
- * adopts it only when it answers. In the first seconds of the very first leader, adopts it without
- * a probe.
+ * adopts the machine only after an answer. In the first seconds of the very first leader, adopts
+ * the machine without a probe.
  */
 void mv_adoption_probe(mv_autoscaler *autoscaler, const mv_heartbeat *heartbeat);
 /** Returns whether the command with this id is a probe in flight. */
--- a/src/coordination/autoscaling/idle_machines.h
+++ b/src/coordination/autoscaling/idle_machines.h
@@ -13,15 +13,15 @@
 #define MV_IDLE_MACHINES_H
 #include "coordination/autoscaling/autoscaler.h"
 
-/** Marks machines of the shard that have been idle for long enough for release to the cloud. */
+/** Marks machines of the shard for release to the cloud if they have been idle for long enough. */
 void mv_idle_machines_release(mv_autoscaler *autoscaler, mv_shard *shard);
 /** Declares idle machines of the shard transferable, or withdraws the declaration. */
 void mv_idle_machines_update_transferable(mv_autoscaler *autoscaler, mv_shard *shard);
 /**
  * Evicts batch work from a machine that services of other shards need. This happens if the services
  * have no machine and the cloud offers none, while batch work of this shard runs on a machine of a
- * suitable type. Evicts from one machine at a time, the one where the least work is lost, and only
- * if the shard's own services keep their reserve.
+ * suitable type. Evicts from one machine at a time, namely the machine where the least work is
+ * lost, and only if the shard's own services keep their reserve.
  */
 void mv_idle_machines_evict_for_services(mv_autoscaler *autoscaler, mv_shard *shard);
 #endif
--- a/src/coordination/autoscaling/instance_requests.c
+++ b/src/coordination/autoscaling/instance_requests.c
@@ -19,7 +19,7 @@
 /* Returns the price of a machine per task that would run on it, multiplied by the cost of waiting.
  * Urgent tasks wait until the machine has booted, so the boot time counts for their demand. A
  * replica that will use a reserve later waits only for its image, so the fetch time of the image
- * counts for a reserve. */
+ * counts for a reserve. The price for other demand is not multiplied. */
 static double weighted_price(const mv_machine_type *type, const mv_resource_demand *demand,
                              bool spot, unsigned tasks)
 {
@@ -100,8 +100,7 @@
 /* --- requests --- */
 
 /* Returns whether a request for the same type, zone, kind and shard is pending. Until the cloud
- * answers that request, the leader does not know how much capacity remains, so it sends no other.
- */
+ * answers that request, the leader does not know how much capacity remains and sends no other. */
 static bool is_requested(const mv_autoscaler *autoscaler, const mv_instance_offer *offer)
 {
     const mv_machine_type *type =
