--- a/src/server/clocks.c
+++ b/src/server/clocks.c
@@ -1,5 +1,5 @@
 /**
- * The clocks of the process.
+ * Monotonic and wall clock of the process.
  */
 #include "server/clocks.h"
 
--- a/src/server/clocks.h
+++ b/src/server/clocks.h
@@ -1,19 +1,27 @@
 /**
- * The clocks of the process, in seconds, and deadlines for condition variables.
+ * Monotonic and wall clock of the process, in seconds, and deadlines for condition variables.
  *
- * Thread-safe; no function blocks.
+ * All functions are thread-safe and none of them blocks.
  */
 #ifndef MV_CLOCKS_H
 #define MV_CLOCKS_H
 #include <pthread.h>
 #include <time.h>
 
-/** The monotonic clock: for leases, timeouts and everything that the controller compares. */
+/**
+ * Returns the time of the monotonic clock in seconds. Leases, timeouts and all times that the
+ * controller compares are on this clock.
+ */
 double mv_monotonic_now(void);
-/** The wall clock, seconds since 1970: for records only. */
+/**
+ * Returns the wall-clock time in seconds since 1970. Only times in records are on this clock.
+ */
 double mv_wall_clock_now(void);
-/** The moment `seconds` from now, for pthread_cond_timedwait on a condition as below. */
+/**
+ * Returns the monotonic time `seconds` from now, as a deadline for pthread_cond_timedwait on a
+ * condition variable that mv_monotonic_cond_init has initialized.
+ */
 struct timespec mv_monotonic_deadline(double seconds);
-/** Initializes a condition variable whose deadlines are on the monotonic clock. */
+/** Initializes a condition variable whose deadlines are times of the monotonic clock. */
 void mv_monotonic_cond_init(pthread_cond_t *cond);
 #endif
--- a/src/server/final_job_cache.c
+++ b/src/server/final_job_cache.c
@@ -1,5 +1,5 @@
 /**
- * Final states of jobs.
+ * Cache of the final states of jobs: a hash table under a lock.
  */
 #include "server/final_job_cache.h"
 
--- a/src/server/heartbeat_endpoint.c
+++ b/src/server/heartbeat_endpoint.c
@@ -1,5 +1,5 @@
 /**
- * The heartbeats of agents.
+ * Handler of the heartbeats that agents send.
  */
 #include "server/heartbeat_endpoint.h"
 
--- a/src/server/heartbeat_endpoint.h
+++ b/src/server/heartbeat_endpoint.h
@@ -1,14 +1,16 @@
 /**
- * The heartbeats of agents.
+ * Handler of the heartbeats that agents send.
  */
 #ifndef MV_HEARTBEAT_ENDPOINT_H
 #define MV_HEARTBEAT_ENDPOINT_H
 #include "server/request.h"
 
 /**
- * POST of a heartbeat: 200 with commands, 421 with the owner of the machine's shard if it is known,
- * 503, or 400 for a malformed one. Fills `response`, whose body the caller owns. Blocks on nothing
- * but the controller's lock, which it takes.
+ * Handles the POST of a heartbeat and fills `response`, whose body the caller owns. The status is
+ * 200 with commands for the agent; 421 if another controller has to answer, with that
+ * controller's name if it is known (the owner of the machine's shard, or the leader if no shard has
+ * the machine); 503 if the agent should retry; or 400 if the heartbeat is malformed. Takes the
+ * controller's lock and blocks on nothing else.
  */
 void mv_endpoint_heartbeat(const mv_request_services *services, const mv_request *request,
                            mv_http_response *response);
