--- a/src/server/job_endpoints.c
+++ b/src/server/job_endpoints.c
@@ -1,5 +1,5 @@
 /**
- * Submission, poll and cancellation of jobs.
+ * Handlers of users' requests that submit, poll and cancel jobs.
  */
 #include "server/job_endpoints.h"
 
@@ -60,15 +60,16 @@
 
 /* --- submission --- */
 
-/** Whether a job may be accepted, as the controller sees it. */
+/** Whether this controller may accept a job, and if not, why. */
 typedef struct {
     mv_fit_result fit;
-    unsigned home_shard;       /* MV_FIT_POSSIBLE */
-    const char *invalid_field; /* NULL: none */
+    unsigned home_shard;       /* set with MV_FIT_POSSIBLE only */
+    const char *invalid_field; /* the field that makes the job invalid; NULL: no field does */
     mv_forwarding forwarding;
 } job_admission;
 
-/* May drop machine types that do not exist from the job's list. */
+/* Decides whether this controller may accept the job. If the job's record would be too large, this
+ * function drops the machine types that do not exist, and repeated ones, from the job's list. */
 static job_admission check_admission(mv_shared_controller *shared, mv_job_spec *job)
 {
     job_admission admission = {.forwarding = MV_FORWARDING_ALLOWED};
@@ -79,8 +80,9 @@
         !mv_controller_home_shard(controller, job, &admission.home_shard))
         admission.fit = MV_FIT_UNKNOWN;
     const bool formats_current = mv_controller_all_formats_current(controller);
-    /* Old controllers accepted batch jobs without an estimate, and responses must not differ by
-     * version. */
+    /* Controllers of record format 1 accept batch jobs without an estimated runtime. The response
+     * must not depend on which controller a user asks, so this controller rejects these jobs only
+     * if all controllers read the current format. */
     const bool estimate_missing = !job->service && job->estimated_runtime_s <= 0 && formats_current;
     if (estimate_missing)
         admission.invalid_field = WIRE_ESTIMATED_RUNTIME;
@@ -89,7 +91,9 @@
     mv_shared_controller_unlock(shared);
     if (job->service && !formats_current && admission.fit == MV_FIT_POSSIBLE) {
         admission.fit = MV_FIT_UNKNOWN;
-        admission.forwarding = MV_FORWARDING_FORBIDDEN; /* an old peer would refuse it for good */
+        /* A peer of record format 1 would reject the service with a final error, although the
+         * service can be accepted once all controllers read the current format. */
+        admission.forwarding = MV_FORWARDING_FORBIDDEN;
     }
     if (admission.invalid_field)
         admission.fit = MV_FIT_IMPOSSIBLE;
@@ -113,12 +117,16 @@
         return;
     }
     mv_job_lookup lookup = mv_job_find(services, job->id);
-    if (lookup.state == MV_JOB_UNKNOWN) /* it had a record a moment ago */
+    /* The commit failed because the job had a record. If the lookup finds no record, this
+     * controller cannot tell the job's state. */
+    if (lookup.state == MV_JOB_UNKNOWN)
         lookup.state = MV_JOB_UNCERTAIN;
     respond_with_lookup(services, job->id, &lookup, response);
 }
 
-/* A job that was accepted stays accepted, whatever the limits and machine types are by now. */
+/* Responds to the submission of a job that this controller may not accept now. If the job has a
+ * record, the response is the job's state: a job that was accepted stays accepted, even if limits
+ * or machine types have changed since. */
 static void refuse_unless_known(const mv_request_services *services, const mv_job_spec *job,
                                 const job_admission *admission, mv_http_response *response)
 {
@@ -181,7 +189,8 @@
     respond_with_lookup(services, id, &lookup, response);
 }
 
-/* Whether the response is decided; else the job's record changed meanwhile. */
+/* Tries to cancel the job, and returns whether `response` has been filled. False means that the
+ * job's record changed between the lookup and the commit, so the caller may try again. */
 static bool try_cancel(const mv_request_services *services, const char *id,
                        mv_http_response *response)
 {
--- a/src/server/job_endpoints.h
+++ b/src/server/job_endpoints.h
@@ -1,26 +1,31 @@
 /**
- * Users' requests about jobs: submission, poll and cancellation.
+ * Handlers of users' requests that submit, poll and cancel jobs.
  *
- * Handlers block on the state service and take the controller's lock. Each fills `response`, whose
- * body the caller owns. A 503 means that this controller cannot say: a peer may be asked instead.
+ * The handlers block on the state service and take the controller's lock. Each handler fills
+ * `response`, whose body the caller owns. With a 503 this controller says that it cannot decide the
+ * request; the caller may then forward the request to a peer.
  */
 #ifndef MV_JOB_ENDPOINTS_H
 #define MV_JOB_ENDPOINTS_H
 #include "server/request.h"
 
-/** Whether a peer may be asked when the response is a 503. */
+/** Whether the caller may forward the request to a peer if the response is a 503. */
 typedef enum { MV_FORWARDING_ALLOWED, MV_FORWARDING_FORBIDDEN } mv_forwarding;
 
 /**
- * POST of a job. An idempotent request: a job that was accepted stays accepted, and its state is
- * the response to a repeated submission.
+ * Handles the POST of a job. The request is idempotent: a job that was accepted stays accepted, and
+ * the response to a repeated submission is the job's state. Returns whether the request may be
+ * forwarded.
  */
 mv_forwarding mv_endpoint_submit_job(const mv_request_services *services, const mv_request *request,
                                      mv_http_response *response);
-/** GET of a job's state. */
+/** Handles the GET of a job's state. */
 void mv_endpoint_poll_job(const mv_request_services *services, const char *id,
                           mv_http_response *response);
-/** POST that cancels a job; the response to a job that has ended already is how it ended. */
+/**
+ * Handles the POST that cancels a job. If the job has ended already, the response says how the job
+ * ended.
+ */
 void mv_endpoint_cancel_job(const mv_request_services *services, const char *id,
                             mv_http_response *response);
 #endif
--- a/src/server/job_lookup.c
+++ b/src/server/job_lookup.c
@@ -1,5 +1,5 @@
 /**
- * Looks jobs up in the cache and in the state service.
+ * Lookup of jobs in this controller's caches and in the state service.
  */
 #include "server/job_lookup.h"
 
@@ -7,7 +7,8 @@
 
 /* --- records --- */
 
-/* MV_STATE_STORE_OK with `document` NULL: the record cannot be read. The caller frees it. */
+/* Reads the record of a job from the state service. The caller frees `document`. The result
+ * MV_STATE_STORE_OK with a `document` of NULL means that the record is there but malformed. */
 static mv_state_store_result read_record(mv_state_store *store, const char *prefix, const char *id,
                                          mv_document **document, uint64_t *revision)
 {
@@ -23,7 +24,8 @@
     return result;
 }
 
-/* Why there is no record. */
+/* Returns the state of a job whose record could not be read: the job is unknown only if the state
+ * service said that there is no record. */
 static mv_job_state state_without_record(mv_state_store_result result)
 {
     return result == MV_STATE_STORE_NOT_FOUND ? MV_JOB_UNKNOWN : MV_JOB_UNCERTAIN;
@@ -85,10 +87,12 @@
         lookup.state = MV_JOB_FINAL;
         return lookup;
     }
-    /* While the state service is out of reach, at once rather than after a timeout. */
+    /* While the state service is out of reach, a read would end with a timeout, so the response is
+     * given at once without a read. */
     if (!mv_shared_controller_state_reachable(services->controller))
         return lookup;
-    /* The live record first: a job only ever moves from there to its final record. */
+    /* The live record is looked up before the final record: a job moves from its live record to its
+     * final one and never back, so a job that moves in between is found by the second lookup. */
     lookup.state = find_live(services, id, &lookup);
     if (lookup.state == MV_JOB_UNKNOWN)
         lookup.state = find_final(services, id, &lookup);
--- a/src/server/job_lookup.h
+++ b/src/server/job_lookup.h
@@ -1,31 +1,33 @@
 /**
- * What is known of a job now. The result is never older than any response that any controller has
- * given: a final state is for good, everything else is read from the state service, or from a cache
- * that has been brought up to date since the call.
+ * Lookup of a job's current state. The result is never older than a response that any controller
+ * has given before the call: a final state never changes, and every other state is read from the
+ * state service, or from a cache that has caught up with the state service since the call.
  */
 #ifndef MV_JOB_LOOKUP_H
 #define MV_JOB_LOOKUP_H
 #include "server/request.h"
 
-/** What is known of a job. */
+/** What this controller knows about a job. */
 typedef enum {
-    MV_JOB_ACTIVE,   /* it has a live record */
-    MV_JOB_FINAL,    /* it has ended */
-    MV_JOB_UNKNOWN,  /* there is no record of it */
-    MV_JOB_UNCERTAIN /* the state service did not say, or a record cannot be read */
+    MV_JOB_ACTIVE,   /* the job has a live record */
+    MV_JOB_FINAL,    /* the job has ended */
+    MV_JOB_UNKNOWN,  /* the job has no record */
+    MV_JOB_UNCERTAIN /* the state service gave no answer, or a record is malformed */
 } mv_job_state;
 
-/** The answer of a lookup. */
+/** The result of a lookup. */
 typedef struct {
     mv_job_state state;
-    uint64_t revision;  /* MV_JOB_ACTIVE: of the live record */
-    unsigned tasks;     /* MV_JOB_ACTIVE: of the job */
-    mv_final_job final; /* MV_JOB_FINAL */
+    uint64_t revision;  /* revision of the live record; set with MV_JOB_ACTIVE */
+    unsigned tasks;     /* number of the job's tasks; set with MV_JOB_ACTIVE */
+    mv_final_job final; /* how the job ended; set with MV_JOB_FINAL */
 } mv_job_lookup;
 
 /**
- * Looks a job up. Blocks on the state service, or for MV_POLL_WAIT_MAX_S on the cache; while the
- * state service is out of reach it returns MV_JOB_UNCERTAIN at once. Takes the controller's lock.
+ * Looks a job up. Takes the controller's lock, and blocks until the state service has answered or
+ * the cache has caught up, for which the function waits MV_POLL_WAIT_MAX_S at most. While the state
+ * service is out of reach, the function returns at once: MV_JOB_FINAL if the final state is cached,
+ * otherwise MV_JOB_UNCERTAIN.
  */
 mv_job_lookup mv_job_find(const mv_request_services *services, const char *id);
 #endif
--- a/src/server/job_transactions.c
+++ b/src/server/job_transactions.c
@@ -1,5 +1,5 @@
 /**
- * Transactions that create and cancel jobs.
+ * Transactions on the state service that create and cancel jobs.
  */
 #include "server/job_transactions.h"
 
@@ -10,7 +10,7 @@
 
 typedef struct {
     GArray *preconditions; /* mv_precondition */
-    GArray *writes;        /* mv_write, with the data owned */
+    GArray *writes;        /* mv_write; the array owns the data of its elements */
 } job_transaction;
 
 static void free_write(gpointer write)
@@ -27,7 +27,8 @@
     return transaction;
 }
 
-/* Revision 0: there is no such record. */
+/* Makes the commit fail unless the record `key` has this revision. Revision 0 requires that there
+ * is no such record. */
 static void require_revision(job_transaction *transaction, const char *key, uint64_t revision)
 {
     mv_precondition precondition = {.revision = revision};
@@ -35,7 +36,8 @@
     g_array_append_val(transaction->preconditions, precondition);
 }
 
-/* Takes `data`; NULL: deletes the record. */
+/* Adds a put of `data`, which the transaction owns from now on. If `data` is NULL, the write
+ * deletes the record instead. */
 static void add_write(job_transaction *transaction, const char *key, GBytes *data)
 {
     mv_write write = {.data = data};
@@ -43,7 +45,8 @@
     g_array_append_val(transaction->writes, write);
 }
 
-/* Ends the transaction. */
+/* Commits the transaction and frees it. If the state service calls the transaction too large, the
+ * controller lowers its limits for later transactions. */
 static mv_state_store_result commit(const mv_request_services *services,
                                     job_transaction *transaction)
 {
@@ -84,12 +87,14 @@
     return commit(services, &transaction);
 }
 
-/* Chunks that have no room in the transaction, or that were written in another size, are left to
- * garbage collection. */
+/* Adds the deletion of the job's completion records, which hold MV_CHUNK_TASKS_MAX tasks each. The
+ * leader's garbage collection later deletes the records that this transaction does not: those that
+ * exceed the limit of writes, and those of a job whose records hold fewer tasks each. */
 static void delete_completion_records(const mv_request_services *services,
                                       job_transaction *transaction, const char *id, unsigned tasks)
 {
-    const unsigned other_writes = 2; /* of the live and the final record */
+    const unsigned other_writes =
+        2; /* the delete of the live record and the put of the final one */
     double now;
     const mv_controller *controller = mv_shared_controller_lock(services->controller, &now);
     const unsigned chunks_max = mv_controller_max_writes(controller) - other_writes;
--- a/src/server/job_transactions.h
+++ b/src/server/job_transactions.h
@@ -1,22 +1,23 @@
 /**
- * The transactions on the state service by which users' requests create and cancel jobs.
+ * Transactions on the state service that create and cancel jobs for users' requests.
  *
- * Both block on the state service and take the controller's lock. When the state service calls a
- * transaction too large, they lower the controller's limits for later ones.
+ * Both functions block on the state service and may take the controller's lock. If the state
+ * service calls a transaction too large, the controller lowers its limits for later transactions.
  */
 #ifndef MV_JOB_TRANSACTIONS_H
 #define MV_JOB_TRANSACTIONS_H
 #include "server/request.h"
 
 /**
- * Writes the live record of a new job. MV_STATE_STORE_CONFLICT: the job has a record already, live
- * or final.
+ * Writes the live record of a new job. MV_STATE_STORE_CONFLICT means that the job already has a
+ * live or a final record.
  */
 mv_state_store_result mv_job_commit_submission(const mv_request_services *services,
                                                const mv_job_spec *job, unsigned home_shard);
 /**
- * Replaces a job's live record of this revision by a final one, and deletes its completion records.
- * MV_STATE_STORE_CONFLICT: the live record has changed meanwhile.
+ * Replaces the live record of a job by a final record that says "cancelled", and deletes the job's
+ * completion records. MV_STATE_STORE_CONFLICT means that the live record no longer has `revision`,
+ * or that the job already has a final record.
  */
 mv_state_store_result mv_job_commit_cancellation(const mv_request_services *services,
                                                  const char *id, uint64_t revision, unsigned tasks);
