--- a/src/server/main.c
+++ b/src/server/main.c
@@ -1,5 +1,5 @@
 /**
- * The program: command line, signals, exit codes.
+ * The program `mulleinvalve`: command line, signals and exit codes.
  */
 #include "telemetry/log.h"
 #include "telemetry/metrics.h"
@@ -35,7 +35,7 @@
         ;
 }
 
-/* Returns the exit code, after a stop signal. */
+/* Runs the controller until SIGTERM or SIGINT arrives, and returns the exit code. */
 static int serve(const mv_settings *settings)
 {
     if (!mv_log_init(settings->node_name)) {
@@ -60,13 +60,14 @@
 
 /* --- command line --- */
 
-/** What the command line asks for; zeroed before it is parsed. */
+/** The options of the command line. All fields are zero before the parse. */
 typedef struct {
-    char *settings_path, *operator_settings_path; /* owned; NULL: not given */
+    char *settings_path, *operator_settings_path; /* owned; NULL: option absent */
     gboolean check_only, print_version;
 } command_line;
 
-/* Options are taken out of `argv`. */
+/* Parses the options and removes them from `argv`. If an option is invalid, prints an error and
+ * returns false. */
 static bool parse_options(command_line *options, int *argc, char ***argv)
 {
     const GOptionEntry entries[] = {
@@ -84,7 +85,7 @@
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_summary(
         context, "A cluster scheduler: one of the controllers of a deployment.\n"
-                 "\"status ADDRESS\" prints the picture that the controller there has.");
+                 "\"status ADDRESS\" prints the cluster overview of the controller at ADDRESS.");
     if (!g_option_context_parse(context, argc, argv, &error)) {
         fprintf(stderr, "mulleinvalve: %s\n", error->message);
         return false;
@@ -92,7 +93,8 @@
     return true;
 }
 
-/* Checks the settings, and serves under them unless only the check is asked for. */
+/* Loads and checks the settings. Unless --check is given, the controller then runs with these
+ * settings until it is stopped. Returns the exit code. */
 static int check_or_serve(const command_line *options)
 {
     g_autoptr(mv_settings_error) error = NULL;
@@ -104,14 +106,15 @@
     }
     int exit_code = EXIT_CODE_OK;
     if (options->check_only)
-        printf("the settings are in order\n");
+        printf("the settings are valid\n");
     else
         exit_code = serve(settings);
     mv_settings_free(settings);
     return exit_code;
 }
 
-/* `argv` without options. */
+/* Runs what the command line asks for and returns the exit code. `argv` holds the arguments that
+ * are not options. */
 static int run(const command_line *options, int argc, char **argv)
 {
     if (options->print_version) {
--- a/src/server/operator_endpoints.c
+++ b/src/server/operator_endpoints.c
@@ -1,5 +1,5 @@
 /**
- * Health, metrics and overview.
+ * Handlers of health checks, metrics and the overview.
  */
 #include "server/operator_endpoints.h"
 
@@ -15,8 +15,10 @@
     const bool ready = mv_controller_is_ready(controller);
     const bool state_reachable = mv_controller_state_reachable(controller, now);
     mv_shared_controller_unlock(services->controller);
-    /* Without the state service we can still serve through a peer, and when all are without it
-     * nobody gains if we leave: only a controller that is alone with its failure is unhealthy. */
+    /* A controller that has lost the state service can still serve users through a peer that
+     * reaches it. If all controllers have lost the state service, taking this controller out of
+     * service would help no user. So a controller without the state service is unhealthy only if no
+     * peer responds either. */
     const bool healthy =
         ready && (state_reachable || mv_peer_health_any_reachable(services->peer_health));
     const char *text = healthy ? "ok\n" : "not ready\n";
--- a/src/server/request.h
+++ b/src/server/request.h
@@ -1,5 +1,5 @@
 /**
- * A request as the handlers of the server see it, and the services that they work with.
+ * The request that a handler of the server responds to, and the services that handlers use.
  */
 #ifndef MV_REQUEST_H
 #define MV_REQUEST_H
@@ -11,16 +11,16 @@
 #include "storage/state_store.h"
 #include "transport/http_server.h"
 
-/** A user's or an agent's request; what it points to lives as long as its handling. */
+/** A request to this controller. Its pointers are valid until the handler returns. */
 typedef struct {
     const char *method, *path;
-    const uint8_t *body; /* NULL with a size: larger than the protocol allows */
-    size_t size;
+    const uint8_t *body; /* NULL: absent, or larger than the protocol allows */
+    size_t size;         /* can be nonzero with a `body` of NULL, if the body was too large */
 } mv_request;
 
 /**
- * What handlers work with, all borrowed from the server. Handlers run on the threads of the HTTP
- * and peer servers, several at a time; none of them holds the controller's lock when it is called.
+ * The services that handlers use, all borrowed from the server. Handlers run concurrently on the
+ * threads of the HTTP and peer servers. A handler is called without the controller's lock held.
  */
 typedef struct {
     mv_shared_controller *controller;
@@ -29,6 +29,6 @@
     mv_final_job_cache *final_jobs;
     mv_peer_client *peers;
     mv_peer_health *peer_health;
-    mv_http_server *http_server; /* set before the server begins to serve */
+    mv_http_server *http_server; /* set before the HTTP server accepts connections */
 } mv_request_services;
 #endif
--- a/src/server/responses.c
+++ b/src/server/responses.c
@@ -1,5 +1,5 @@
 /**
- * Bodies that several handlers send.
+ * Responses that several handlers use.
  */
 #include "server/responses.h"
 
--- a/src/server/thread_group.c
+++ b/src/server/thread_group.c
@@ -1,5 +1,5 @@
 /**
- * Start, interruptible sleep and end of the server's threads.
+ * Start, interruptible sleep, stop and join of the server's threads.
  */
 #include "server/thread_group.h"
 
@@ -16,10 +16,10 @@
 } thread;
 
 struct mv_thread_group {
-    pthread_mutex_t lock;     /* guards all that follows */
-    pthread_cond_t stop_cond; /* signalled once `stopping` is set */
+    pthread_mutex_t lock;     /* guards `stopping` and `threads` */
+    pthread_cond_t stop_cond; /* broadcast when `stopping` is set */
     bool stopping;
-    GPtrArray *threads; /* of thread * */
+    GPtrArray *threads; /* thread *; all threads that were started */
 };
 
 mv_thread_group *mv_thread_group_new(void)
@@ -99,7 +99,8 @@
 
 void mv_thread_group_join(mv_thread_group *group)
 {
-    /* No thread is added any more, so the list needs no lock. */
+    /* A stopping group starts no threads, so the list no longer changes and is read without the
+     * lock. The lock must not be held here, because the threads take it before they return. */
     for (guint i = 0; i < group->threads->len; i++) {
         const thread *ended = g_ptr_array_index(group->threads, i);
         pthread_join(ended->id, NULL);
