--- a/src/server/request_router.c
+++ b/src/server/request_router.c
@@ -1,5 +1,5 @@
 /**
- * Routing of requests.
+ * Routing of requests to their handlers, and the queue limits of each kind of request.
  */
 #include "server/request_router.h"
 
@@ -29,16 +29,18 @@
 
 typedef struct {
     route_kind kind;
-    char job_id[MV_ID_SIZE]; /* of a poll or a cancellation */
+    char job_id[MV_ID_SIZE]; /* the job of a poll or a cancellation */
 } request_route;
 
-/* `rest` is the path after "/v2/runs/": "ID" or "ID/abort". */
+/* Returns the route of a request about one job. `rest` is the path after "/v2/runs/": "ID" or
+ * "ID/abort". */
 static request_route find_job_route(bool get, bool post, const char *rest)
 {
     request_route route = {.kind = ROUTE_NONE};
     const char *slash = strchr(rest, '/');
     const size_t id_length = slash ? (size_t)(slash - rest) : strlen(rest);
-    /* A longer text than any id stays empty, which no job has as its id. */
+    /* If the text is longer than any id, `job_id` stays empty. No job has an empty id, so the
+     * handler then responds that there is no such job. */
     if (id_length < sizeof route.job_id)
         memcpy(route.job_id, rest, id_length);
     if (!slash && get)
@@ -113,7 +115,8 @@
     }
 }
 
-/* Responds to a user's request about jobs, through a peer if this controller cannot. */
+/* Responds to a user's request about jobs. If this controller cannot decide the request, a peer's
+ * response is used instead, provided that forwarding is allowed and a peer can respond. */
 static void route_job_request(const mv_request_services *services, const request_route *route,
                               const mv_request *request, mv_http_response *response)
 {
@@ -174,8 +177,10 @@
     return !is_job_route(find_route(method, path).kind);
 }
 
-/* A poll can be repeated without harm, so polls are rejected before submissions and cancellations.
- * Heartbeats are answered at once and wait for nothing. */
+/* Returns how many requests may already wait in the queue for this request to be queued as well.
+ * The limit is lower for polls: users can repeat a poll without harm, so under overload polls are
+ * rejected before submissions and cancellations. Heartbeats are answered at once and never queued.
+ */
 static unsigned queue_limit(const char *method, const char *path)
 {
     const bool poll = find_route(method, path).kind == ROUTE_POLL_JOB;
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -1,5 +1,5 @@
 /**
- * A running controller: composition, start and end.
+ * Composition, start and stop of the server.
  */
 #include "server/server.h"
 
@@ -32,9 +32,9 @@
     mv_demand_publisher *demands;
     mv_link_report_publisher *link_reports;
     mv_final_job_cache *final_jobs;
-    mv_request_services services; /* of the above, for the handlers */
-    mv_peer_server *peer_server;  /* NULL: not bound */
-    mv_http_server *http_server;  /* NULL: not bound */
+    mv_request_services services; /* the services that the handlers use, all from this struct */
+    mv_peer_server *peer_server;  /* NULL until its address is bound */
+    mv_http_server *http_server;  /* NULL until its address is bound */
 };
 
 GQuark mv_server_error_quark(void)
@@ -42,9 +42,9 @@
     return g_quark_from_static_string("mv-server-error");
 }
 
-/* --- time --- */
+/* --- ticks --- */
 
-/* Returns whether the controller is ready for requests. */
+/* Gives the controller the current time. Returns whether every shard has a live owner. */
 static bool tick(mv_shared_controller *shared)
 {
     double now;
@@ -55,7 +55,8 @@
     return ready;
 }
 
-/* Tells the controller the time, and begins to serve when it is ready. */
+/* Gives the controller the time every MV_TICK_S until the server stops, and starts the HTTP server
+ * when every shard has a live owner, or after MV_LISTEN_DELAY_MAX_S at the latest. */
 static void run_ticks(void *context)
 {
     mv_server *server = context;
@@ -63,13 +64,15 @@
     bool serving = false;
     do {
         const bool ready = tick(server->controller) || mv_monotonic_now() > serve_at_latest;
-        /* Before every machine has an owner, agents can only be sent elsewhere: after all
-         * controllers had ended at once, a thousand agents that were redirected in a circle kept
-         * any controller from taking over. */
+        /* While a machine's shard has no owner, a controller can only redirect the machine's agent
+         * to another controller. After all controllers had ended at once, a thousand agents were
+         * redirected in a circle and kept every controller from acquiring shards. So the HTTP
+         * server starts only when every shard has an owner, or at the latest time. */
         if (ready && !serving) {
             serving = true;
             if (!mv_http_server_start(server->http_server))
-                mv_error("listen_failed", "cannot serve at port %u", server->settings->listen.port);
+                mv_error("listen_failed", "cannot start the HTTP server on port %u",
+                         server->settings->listen.port);
         }
     } while (mv_thread_group_sleep(server->threads, MV_TICK_S));
 }
@@ -105,7 +108,8 @@
     return server;
 }
 
-/* No thread of the server, of its peer server or of its HTTP server runs any more. */
+/* Frees the server. The threads of the server, of its peer server and of its HTTP server have
+ * ended. */
 static void server_free(mv_server *server)
 {
     mv_final_job_cache_free(server->final_jobs);
@@ -124,7 +128,9 @@
     g_free(server);
 }
 
-/* What others may open: sockets are left for our own requests, and memory for all else. */
+/* Returns the limits for connections from users and agents. The number of connections leaves
+ * sockets for the requests that this controller sends itself, and memory for the rest of the
+ * process. */
 static mv_http_limits http_limits(const mv_settings *settings)
 {
     const double by_sockets = settings->max_connections * MV_HTTP_SOCKET_SHARE;
@@ -181,7 +187,9 @@
 mv_server *mv_server_start(const mv_settings *settings, GError **error)
 {
     mv_server *server = server_new(settings);
-    tick(server->controller); /* before any event: records carry the time of day */
+    /* The records that the controller writes hold the wall-clock time, so the controller gets the
+     * time before any event. */
+    tick(server->controller);
     mv_http_client_init();
     if (bind_addresses(server, error) && start_threads(server, error))
         return server;
@@ -189,7 +197,7 @@
     return NULL;
 }
 
-/* --- end --- */
+/* --- stop --- */
 
 void mv_server_stop(mv_server *server)
 {
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -1,7 +1,7 @@
 /**
- * A running controller: it composes the controller's state machine, the state service's client, the
- * HTTP and peer servers and the threads between them. README.md in this folder describes the
- * threads, the locks and the ways of requests and actions.
+ * The server of a controller process. The server composes the controller's state machine, the
+ * client of the state service, the HTTP and peer servers, and the threads that connect them.
+ * README.md in this folder describes the threads, the locks and the paths of requests and actions.
  */
 #ifndef MV_SERVER_H
 #define MV_SERVER_H
@@ -18,19 +18,20 @@
     MV_SERVER_ERROR_THREADS         /* a thread cannot be started */
 } mv_server_error;
 
-/** The domain of errors whose codes are mv_server_error. */
+/** The GError domain of mv_server_start; its codes are mv_server_error. */
 #define MV_SERVER_ERROR (mv_server_error_quark())
-/** The quark of MV_SERVER_ERROR. */
+/** Returns the quark of MV_SERVER_ERROR. */
 GQuark mv_server_error_quark(void);
 
 /**
- * Starts a server. `settings` have to outlive it. NULL: it could not be started; `error` names the
- * setting and the address. The caller ends it with mv_server_stop.
+ * Starts a server, which the caller ends with mv_server_stop. `settings` have to outlive the
+ * server. Returns NULL if the server could not be started; `error` then names the setting and the
+ * address.
  *
- * Users and agents are served once the controller is ready for them, or after
- * MV_LISTEN_DELAY_MAX_S.
+ * The server accepts requests of users and agents when every shard has a live owner, or after
+ * MV_LISTEN_DELAY_MAX_S at the latest.
  */
 mv_server *mv_server_start(const mv_settings *settings, GError **error);
-/** Ends every thread, in order, and frees the server. */
+/** Stops and joins all threads of the server, and frees the server. */
 void mv_server_stop(mv_server *server);
 #endif
--- a/src/server/status_command.c
+++ b/src/server/status_command.c
@@ -1,5 +1,5 @@
 /**
- * The `status` command: reads GET /overview of a controller and prints it as tables.
+ * The `status` command: fetches GET /overview from a controller and prints the overview as tables.
  */
 #include "server/status_command.h"
 
@@ -19,7 +19,7 @@
     char text[MV_NAME_SIZE];
 } text_field;
 
-/* A text for a table; "-" when the field is absent, empty or too long. */
+/* Returns the text of a field for a table, or "-" if the field is absent, empty or too long. */
 static text_field read_text(const msgpack_object *map, const char *name)
 {
     text_field field = {""};
@@ -83,7 +83,8 @@
     double tasks;
 } machine_count;
 
-/* `context`: GHashTable of machine_count by the text of the row's first columns. */
+/* Adds a machine to the counts. `context` is a GHashTable of machine_count; the key is the text of
+ * the row's first three columns: type, kind and status. */
 static void count_machine(const msgpack_object *machine, void *context)
 {
     GHashTable *counts = context;
@@ -105,7 +106,8 @@
     return strcmp(left, right);
 }
 
-/* A large fleet is counted by type, kind and status: nobody reads a thousand lines. */
+/* Prints the numbers of machines and tasks by type, kind and status. A large fleet is printed this
+ * way because an operator cannot use a list of a thousand machines. */
 static void print_machine_counts(const msgpack_object_array *machines)
 {
     g_autoptr(GHashTable) counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -152,7 +154,7 @@
     const text_field reason = read_text(job, "why");
     const bool service = read_bool(job, "service");
     char done[32];
-    /* Of a service the replicas that are up, of other jobs the tasks that are done. */
+    /* The column shows the running replicas of a service, and the done tasks of any other job. */
     snprintf(done, sizeof done, "%s%.0f/%.0f", service ? "up " : "",
              read_number(job, service ? WIRE_RUNNING : WIRE_DONE), read_number(job, WIRE_TASKS));
     printf("%-14s %-18s %-20s %9s %8.0f %-5s %-14s %s\n", id.text, class_name.text, team.text, done,
@@ -169,7 +171,8 @@
 
 /* --- controllers --- */
 
-/* The record format that a controller declares; 0: none. */
+/* Returns the record format that the controller at `index` declares, or 0 if the controller
+ * declares none. */
 static unsigned declared_format(const msgpack_object_array *formats, uint32_t index)
 {
     if (!formats || index >= formats->size)
@@ -178,8 +181,8 @@
     return format->type == MSGPACK_OBJECT_POSITIVE_INTEGER ? (unsigned)format->via.u64 : 0;
 }
 
-/* Each with the record format that it declares to read; those that declare none are of the version
- * before services, format 1. */
+/* Prints each controller with the record format that the controller declares to read. A controller
+ * that declares none runs the version before services, which reads format 1. */
 static void print_controllers(const msgpack_object *root)
 {
     const msgpack_object_array *nodes = mv_field_read_list(root, "controllers");
@@ -195,8 +198,9 @@
         else
             printf(" %s (old, 1)", name);
     }
-    printf("\nservices     %s\n",
-           read_bool(root, "all_new") ? "accepted" : "not before all controllers are new");
+    printf("\nservices     %s\n", read_bool(root, "all_new")
+                                      ? "accepted"
+                                      : "not accepted until all controllers are upgraded");
 }
 
 static void print_link_report(const msgpack_object *report, void *context)
@@ -214,7 +218,8 @@
            held_launches.text);
 }
 
-/* What each controller knows of its links; nothing where the launch gate is off. */
+/* Prints the link report of each controller. If the launch gate is off, there are no reports and
+ * nothing is printed. */
 static void print_link_reports(const msgpack_object *root)
 {
     const msgpack_object_array *reports = mv_field_read_list(root, "links");
@@ -241,7 +246,8 @@
 {
     mv_endpoint endpoint;
     if (!mv_endpoint_parse(address, &endpoint)) {
-        fprintf(stderr, "status: %s: must be a numeric address and a port\n", address);
+        fprintf(stderr, "status: %s: must be a numeric address and a port, as in 10.0.0.1:8080\n",
+                address);
         return EXIT_CODE_USAGE;
     }
     mv_http_result result;
@@ -253,7 +259,8 @@
     if (document)
         print_overview(mv_document_root(document));
     else
-        fprintf(stderr, "status: no picture from %s (status %d)\n", address, result.status);
+        fprintf(stderr, "status: no readable overview from %s (HTTP status %d; 0: no response)\n",
+                address, result.status);
     mv_http_result_clear(&result);
     return document ? EXIT_CODE_OK : EXIT_CODE_NO_OVERVIEW;
 }
