--- a/src/server/final_job_cache.c
+++ b/src/server/final_job_cache.c
@@ -9,7 +9,7 @@
 #include <pthread.h>
 
 struct mv_final_job_cache {
-    pthread_mutex_t lock; /* guards `jobs` */
+    pthread_mutex_t lock; /* protects `jobs` */
     GHashTable *jobs;     /* char * (job id) -> mv_final_job * */
 };
 
--- a/src/server/heartbeat_endpoint.h
+++ b/src/server/heartbeat_endpoint.h
@@ -8,9 +8,9 @@
 /**
  * Handles the POST of a heartbeat and fills `response`, whose body the caller owns. The status is
  * 200 with commands for the agent; 421 if another controller has to answer, with that
- * controller's name if it is known (the owner of the machine's shard, or the leader if no shard has
- * the machine); 503 if the agent should retry; or 400 if the heartbeat is malformed. Takes the
- * controller's lock and blocks on nothing else.
+ * controller's name if this controller knows that name (the owner of the machine's shard, or the
+ * leader if no shard has the machine); 503 if the agent should retry; or 400 if the heartbeat is
+ * malformed. Takes the controller's lock and blocks on nothing else.
  */
 void mv_endpoint_heartbeat(const mv_request_services *services, const mv_request *request,
                            mv_http_response *response);
--- a/src/server/job_endpoints.c
+++ b/src/server/job_endpoints.c
@@ -63,7 +63,7 @@
 /** Whether this controller may accept a job, and if not, why. */
 typedef struct {
     mv_fit_result fit;
-    unsigned home_shard;       /* set with MV_FIT_POSSIBLE only */
+    unsigned home_shard;       /* set only if `fit` is MV_FIT_POSSIBLE */
     const char *invalid_field; /* the field that makes the job invalid; NULL: no field does */
     mv_forwarding forwarding;
 } job_admission;
--- a/src/server/job_lookup.c
+++ b/src/server/job_lookup.c
@@ -87,8 +87,8 @@
         lookup.state = MV_JOB_FINAL;
         return lookup;
     }
-    /* While the state service is out of reach, a read would end with a timeout, so the response is
-     * given at once without a read. */
+    /* While the state service is out of reach, a read would end only with a timeout, so this
+     * function returns MV_JOB_UNCERTAIN at once without a read. */
     if (!mv_shared_controller_state_reachable(services->controller))
         return lookup;
     /* The live record is looked up before the final record: a job moves from its live record to its
--- a/src/server/job_transactions.c
+++ b/src/server/job_transactions.c
@@ -87,9 +87,10 @@
     return commit(services, &transaction);
 }
 
-/* Adds the deletion of the job's completion records, which hold MV_CHUNK_TASKS_MAX tasks each. The
- * leader's garbage collection later deletes the records that this transaction does not: those that
- * exceed the limit of writes, and those of a job whose records hold fewer tasks each. */
+/* Adds the deletion of the job's completion records, counted as if each record held
+ * MV_CHUNK_TASKS_MAX tasks. The leader's garbage collection later deletes the records that this
+ * transaction leaves: records beyond the limit of writes, and further records of a job whose
+ * records hold fewer tasks each. */
 static void delete_completion_records(const mv_request_services *services,
                                       job_transaction *transaction, const char *id, unsigned tasks)
 {
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -32,7 +32,7 @@
     mv_demand_publisher *demands;
     mv_link_report_publisher *link_reports;
     mv_final_job_cache *final_jobs;
-    mv_request_services services; /* the services that the handlers use, all from this struct */
+    mv_request_services services; /* the members above that the handlers use, and the HTTP server */
     mv_peer_server *peer_server;  /* NULL until its address is bound */
     mv_http_server *http_server;  /* NULL until its address is bound */
 };
@@ -67,7 +67,8 @@
         /* While a machine's shard has no owner, a controller can only redirect the machine's agent
          * to another controller. After all controllers had ended at once, a thousand agents were
          * redirected in a circle and kept every controller from acquiring shards. So the HTTP
-         * server starts only when every shard has an owner, or at the latest time. */
+         * server starts only when every shard has an owner, or MV_LISTEN_DELAY_MAX_S after the
+         * start of this thread. */
         if (ready && !serving) {
             serving = true;
             if (!mv_http_server_start(server->http_server))
--- a/src/server/thread_group.c
+++ b/src/server/thread_group.c
@@ -16,7 +16,7 @@
 } thread;
 
 struct mv_thread_group {
-    pthread_mutex_t lock;     /* guards `stopping` and `threads` */
+    pthread_mutex_t lock;     /* protects `stopping` and `threads` */
     pthread_cond_t stop_cond; /* broadcast when `stopping` is set */
     bool stopping;
     GPtrArray *threads; /* thread *; all threads that were started */
@@ -100,7 +100,8 @@
 void mv_thread_group_join(mv_thread_group *group)
 {
     /* A stopping group starts no threads, so the list no longer changes and is read without the
-     * lock. The lock must not be held here, because the threads take it before they return. */
+     * lock. The lock must not be held here, because threads may take the lock before they return.
+     */
     for (guint i = 0; i < group->threads->len; i++) {
         const thread *ended = g_ptr_array_index(group->threads, i);
         pthread_join(ended->id, NULL);
