--- a/src/server/clocks.c
+++ b/src/server/clocks.c
@@ -22,9 +22,9 @@
 
 struct timespec mv_monotonic_deadline(double seconds)
 {
-    const double at = mv_monotonic_now() + seconds;
-    struct timespec deadline = {.tv_sec = (time_t)at};
-    deadline.tv_nsec = (long)((at - (double)deadline.tv_sec) * NANOSECONDS_PER_SECOND);
+    const double deadline_s = mv_monotonic_now() + seconds;
+    struct timespec deadline = {.tv_sec = (time_t)deadline_s};
+    deadline.tv_nsec = (long)((deadline_s - (double)deadline.tv_sec) * NANOSECONDS_PER_SECOND);
     return deadline;
 }
 
--- a/src/server/job_endpoints.c
+++ b/src/server/job_endpoints.c
@@ -127,8 +127,8 @@
 /* Responds to the submission of a job that this controller may not accept now. If the job has a
  * record, the response is the job's state: a job that was accepted stays accepted, even if limits
  * or machine types have changed since. */
-static void refuse_unless_known(const mv_request_services *services, const mv_job_spec *job,
-                                const job_admission *admission, mv_http_response *response)
+static void respond_not_admitted(const mv_request_services *services, const mv_job_spec *job,
+                                 const job_admission *admission, mv_http_response *response)
 {
     const mv_job_lookup lookup = mv_job_find(services, job->id);
     if (lookup.state != MV_JOB_UNKNOWN)
@@ -151,7 +151,7 @@
     if (admission.fit == MV_FIT_POSSIBLE)
         accept_job(services, job, admission.home_shard, response);
     else
-        refuse_unless_known(services, job, &admission, response);
+        respond_not_admitted(services, job, &admission, response);
     return admission.forwarding;
 }
 
--- a/src/server/job_transactions.c
+++ b/src/server/job_transactions.c
@@ -68,7 +68,7 @@
     char live[MV_KEY_SIZE], final[MV_KEY_SIZE];
 } job_keys;
 
-static job_keys keys_of(const char *id)
+static job_keys job_record_keys(const char *id)
 {
     job_keys keys;
     g_snprintf(keys.live, sizeof keys.live, KEY_JOB_PREFIX "%s", id);
@@ -79,7 +79,7 @@
 mv_state_store_result mv_job_commit_submission(const mv_request_services *services,
                                                const mv_job_spec *job, unsigned home_shard)
 {
-    const job_keys keys = keys_of(job->id);
+    const job_keys keys = job_record_keys(job->id);
     job_transaction transaction = transaction_new();
     require_revision(&transaction, keys.live, 0);
     require_revision(&transaction, keys.final, 0);
@@ -94,11 +94,11 @@
 static void delete_completion_records(const mv_request_services *services,
                                       job_transaction *transaction, const char *id, unsigned tasks)
 {
-    const unsigned other_writes =
+    const unsigned job_record_writes =
         2; /* the delete of the live record and the put of the final one */
     double now;
     const mv_controller *controller = mv_shared_controller_lock(services->controller, &now);
-    const unsigned chunks_max = mv_controller_max_writes(controller) - other_writes;
+    const unsigned chunks_max = mv_controller_max_writes(controller) - job_record_writes;
     mv_shared_controller_unlock(services->controller);
     const unsigned chunks = (tasks + MV_CHUNK_TASKS_MAX - 1) / MV_CHUNK_TASKS_MAX;
     for (unsigned i = 0; i < MIN(chunks, chunks_max); i++) {
@@ -111,7 +111,7 @@
 mv_state_store_result mv_job_commit_cancellation(const mv_request_services *services,
                                                  const char *id, uint64_t revision, unsigned tasks)
 {
-    const job_keys keys = keys_of(id);
+    const job_keys keys = job_record_keys(id);
     job_transaction transaction = transaction_new();
     require_revision(&transaction, keys.live, revision);
     require_revision(&transaction, keys.final, 0);
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -60,10 +60,10 @@
 static void run_ticks(void *context)
 {
     mv_server *server = context;
-    const double serve_at_latest = mv_monotonic_now() + MV_LISTEN_DELAY_MAX_S;
+    const double serve_deadline_s = mv_monotonic_now() + MV_LISTEN_DELAY_MAX_S;
     bool serving = false;
     do {
-        const bool ready = tick(server->controller) || mv_monotonic_now() > serve_at_latest;
+        const bool ready = tick(server->controller) || mv_monotonic_now() > serve_deadline_s;
         /* While a machine's shard has no owner, a controller can only redirect the machine's agent
          * to another controller. After all controllers had ended at once, a thousand agents were
          * redirected in a circle and kept every controller from acquiring shards. So the HTTP
