--- a/src/server/final_job_cache.c
+++ b/src/server/final_job_cache.c
@@ -1,5 +1,5 @@
 /**
- * Final states of jobs.
+ * Cache of the final states of jobs: a hash table under a lock.
  */
 #include "server/final_job_cache.h"
 
@@ -9,7 +9,7 @@
 #include <pthread.h>
 
 struct mv_final_job_cache {
-    pthread_mutex_t lock; /* guards `jobs` */
+    pthread_mutex_t lock; /* protects `jobs` */
     GHashTable *jobs;     /* char * (job id) -> mv_final_job * */
 };
 
