--- a/src/server/action_queue.c
+++ b/src/server/action_queue.c
@@ -1,5 +1,5 @@
 /**
- * A queue of actions for the threads that carry them out.
+ * A queue of actions for the threads that execute the actions.
  */
 #include "server/action_queue.h"
 
--- a/src/server/command_executor.c
+++ b/src/server/command_executor.c
@@ -1,5 +1,5 @@
 /**
- * Sends commands to agents.
+ * Sends the controller's commands to the agents of machines.
  */
 #include "server/command_executor.h"
 
@@ -11,7 +11,7 @@
 
 typedef struct {
     mv_command_executor *executor;
-    unsigned index; /* of its queue */
+    unsigned index; /* of the worker and of its queue in command_queues.h */
 } command_worker;
 
 struct mv_command_executor {
@@ -39,7 +39,8 @@
     g_free(executor);
 }
 
-/* Reports how a command ended to the controller, with the agent's heartbeat if it sent one. */
+/* Reports the outcome of a command to the controller, with the agent's heartbeat if the response
+ * holds one. */
 static void command_completed(mv_command_executor *executor, const mv_action *command,
                               const mv_http_result *result)
 {
@@ -72,6 +73,8 @@
     mv_http_result_clear(&result);
 }
 
+/* Sends the commands of one worker until the queues are closed. A helper has no machines of its own
+ * and therefore keeps only the minimum number of connections open. */
 static void run_worker(void *context)
 {
     const command_worker *worker = context;
@@ -88,7 +91,8 @@
     }
 }
 
-/* Called with the controller's lock held; see command_queues.h. */
+/* Starts the thread of a worker. The command queues call this function for helpers, as an
+ * mv_command_helper_start, with the controller's lock held. */
 static bool start_worker(void *context, unsigned index)
 {
     mv_command_executor *executor = context;
--- a/src/server/command_executor.h
+++ b/src/server/command_executor.h
@@ -1,6 +1,6 @@
 /**
- * The threads that send the controller's commands to the agents of machines. command_queues.h says
- * how commands are spread over them.
+ * The threads that send the controller's commands to the agents of machines. command_queues.h
+ * describes how commands are distributed over the threads.
  */
 #ifndef MV_COMMAND_EXECUTOR_H
 #define MV_COMMAND_EXECUTOR_H
@@ -10,16 +10,16 @@
 
 typedef struct mv_command_executor mv_command_executor;
 
-/** Borrows what it is given. The caller frees it. */
+/** Returns an executor, which the caller frees. The arguments have to outlive the executor. */
 mv_command_executor *mv_command_executor_new(const mv_settings *settings,
                                              mv_shared_controller *controller,
                                              mv_thread_group *threads);
-/** Frees it; its threads have been joined. */
+/** Frees the executor. Its threads must have been joined before. */
 void mv_command_executor_free(mv_command_executor *executor);
 /**
- * Starts the MV_COMMAND_THREADS workers with machines of their own, and lets helpers be started
- * when they are needed; false when a worker cannot be started. The threads end when the queues are
- * closed.
+ * Starts the MV_COMMAND_THREADS workers that machines are assigned to, and enables the command
+ * queues to start helpers when workers are stalled. Returns false if a worker cannot be started.
+ * The threads end when the queues are closed.
  */
 bool mv_command_executor_start(mv_command_executor *executor);
 #endif
--- a/src/server/command_queues.c
+++ b/src/server/command_queues.c
@@ -1,5 +1,5 @@
 /**
- * Queues of commands, and the help for workers that are held up.
+ * Queues of commands to agents, and helpers for workers that an unresponsive machine stalls.
  */
 #include "server/command_queues.h"
 
@@ -8,12 +8,12 @@
 
 typedef struct {
     mv_action_queue queue;
-    double busy_since; /* its worker took a command then; 0: idle */
+    double busy_since; /* when the queue's worker took its current command; 0: it is idle */
 } command_queue;
 
 struct mv_command_queues {
-    command_queue queues[MV_COMMAND_WORKERS_MAX]; /* those of helpers stay empty */
-    unsigned worker_count;                        /* 0 until helpers are enabled */
+    command_queue queues[MV_COMMAND_WORKERS_MAX]; /* one per worker; helpers' queues stay empty */
+    unsigned worker_count;                        /* started workers; 0 until helpers are enabled */
     mv_command_helper_start start_helper;         /* NULL until helpers are enabled */
     void *start_helper_context;
     bool closed;
@@ -42,12 +42,16 @@
     queues->start_helper_context = context;
 }
 
+/* Returns whether the queue's worker is stalled: busy with one command for at least
+ * MV_COMMAND_QUEUE_SLOW_S. */
 static bool is_held_up(const command_queue *queue)
 {
     return queue->busy_since > 0 &&
            mv_monotonic_now() >= queue->busy_since + MV_COMMAND_QUEUE_SLOW_S;
 }
 
+/* Wakes one idle worker, which then takes a command from a stalled worker's queue. Returns false if
+ * no worker is idle. */
 static bool wake_idle_worker(mv_command_queues *queues)
 {
     for (unsigned i = 0; i < queues->worker_count; i++)
@@ -58,7 +62,9 @@
     return false;
 }
 
-/* Hundreds of dead machines, each waited for half a second, held up a failover for 30 s. */
+/* Starts one more helper if helpers are enabled, the queues are open and fewer than
+ * MV_COMMAND_WORKERS_MAX workers run. Without helpers, the workers waited half a second for each of
+ * hundreds of dead machines, which delayed a failover by 30 s. */
 static void add_helper(mv_command_queues *queues)
 {
     const bool allowed =
@@ -75,6 +81,8 @@
         add_helper(queues);
 }
 
+/* Removes and returns the oldest command in the queue of the first stalled worker whose queue is
+ * not empty. Returns NULL if no stalled worker has a command in its queue. */
 static mv_action *take_from_held_up(mv_command_queues *queues)
 {
     mv_action *command = NULL;
