--- a/src/server/state_session.c
+++ b/src/server/state_session.c
@@ -1,5 +1,5 @@
 /**
- * The lease session at the state service.
+ * Opens and renews this process's lease session at the state service.
  */
 #include "server/state_session.h"
 
@@ -10,9 +10,9 @@
     mv_shared_controller *controller;
     mv_state_store *state_store;
     mv_thread_group *threads;
-    /* Used by the session's thread only. */
-    uint64_t incarnation; /* the number of the first session names this process; 0: none yet */
-    bool open;
+    /* Only the session's thread uses the fields below. */
+    uint64_t incarnation; /* lease ID of the process's first session; 0: none yet */
+    bool open;            /* false: no session yet, or the last one is known to be lost */
 };
 
 mv_state_session *mv_state_session_new(mv_shared_controller *controller,
@@ -30,6 +30,8 @@
     g_free(session);
 }
 
+/* Renews the open session or, if no session is open, opens a new one. The lease ID of the first
+ * session identifies this process in records, even after later sessions have replaced the first. */
 static mv_state_store_result open_or_renew(mv_state_session *session)
 {
     if (session->open)
@@ -44,7 +46,8 @@
     return result;
 }
 
-/* `sent`: when the request was sent, from which the session's time counts. */
+/* Reports the result of opening or renewing the session. `sent` is the time at which the request
+ * was sent: the session's TTL counts from then. */
 static void report_to_controller(mv_state_session *session, mv_state_store_result result,
                                  double sent)
 {
@@ -71,10 +74,10 @@
         else if (result == MV_STATE_STORE_NOT_FOUND)
             session->open = false;
         if (result != MV_STATE_STORE_OK)
-            mv_log_limited(MV_LOG_INFO, "session_renewal_failed", "result=%d have=%d", result,
-                           session->open);
+            mv_log_limited(MV_LOG_INFO, "session_renewal_failed", "result=%d session_open=%d",
+                           result, session->open);
         if (result == MV_STATE_STORE_NOT_FOUND)
-            continue; /* the session is lost: a new one at once */
+            continue; /* the session is lost: open a new one without a pause */
         const double pause_s =
             result == MV_STATE_STORE_OK ? MV_SESSION_RENEW_S : MV_SESSION_RETRY_S;
         if (!mv_thread_group_sleep(session->threads, pause_s))
--- a/src/server/state_session.h
+++ b/src/server/state_session.h
@@ -1,6 +1,6 @@
 /**
- * The thread that opens and renews this process's lease session at the state service, on which its
- * leases depend.
+ * The thread that opens and renews this process's lease session at the state service. The leases
+ * that this controller holds are valid only while the session lives.
  */
 #ifndef MV_STATE_SESSION_H
 #define MV_STATE_SESSION_H
@@ -10,11 +10,11 @@
 
 typedef struct mv_state_session mv_state_session;
 
-/** Borrows what it is given. The caller frees it. */
+/** Returns a session, not yet open, which the caller frees. The arguments have to outlive it. */
 mv_state_session *mv_state_session_new(mv_shared_controller *controller,
                                        mv_state_store *state_store, mv_thread_group *threads);
-/** Frees it; its threads have been joined. */
+/** Frees the session. Its thread must have been joined before. */
 void mv_state_session_free(mv_state_session *session);
-/** Starts the thread; false when it cannot be started. */
+/** Starts the session's thread. Returns false if the thread cannot be started. */
 bool mv_state_session_start(mv_state_session *session);
 #endif
--- a/src/server/state_watch.c
+++ b/src/server/state_watch.c
@@ -1,11 +1,11 @@
 /**
- * The cache of the state service's records: listing and watching.
+ * Lists the state service's records and watches them for changes, for the controller's cache.
  */
 #include "server/state_watch.h"
 
 #include "server/clocks.h"
 
-#define SESSION_POLLS_PER_RETRY 4 /* the wait for the first session, against MV_SESSION_RETRY_S */
+#define SESSION_POLLS_PER_RETRY 4 /* polls for the first session in MV_SESSION_RETRY_S */
 #define MILLISECONDS_PER_SECOND 1000.0
 
 struct mv_state_watch {
@@ -13,12 +13,14 @@
     mv_shared_controller *controller;
     mv_state_store *state_store;
     mv_thread_group *threads;
-    /* Used by the watch's thread only. */
+    /* Only the watch's thread uses these fields. */
     GHashTable *cached_keys; /* char *: the keys that the controller's cache holds */
-    uint64_t store_revision; /* the watch goes on from here */
-    bool listed;             /* since the last compaction that the watch fell behind */
-    /* Guarded by the controller's lock. */
-    pthread_cond_t caught_up; /* the cache was brought up to date, or the watch is stopping */
+    uint64_t store_revision; /* the next watch starts after this revision */
+    /* Whether all records were listed and the state service has kept the events after
+     * store_revision since then. If false, the records are listed before the next watch. */
+    bool listed;
+    /* The controller's lock guards these fields. */
+    pthread_cond_t caught_up; /* signalled when the cache is up to date or the watch stops */
     bool stopping;
 };
 
@@ -53,7 +55,7 @@
 
 /* --- records --- */
 
-/* `data` NULL: the record was deleted. */
+/* Passes a change of one record on to the controller. `data` is NULL if the record was deleted. */
 static void record_changed(void *context, const char *key, GBytes *data, uint64_t revision)
 {
     mv_state_watch *watch = context;
@@ -72,6 +74,7 @@
     GHashTable *keys; /* char *: the keys of the listed records */
 } record_listing;
 
+/* Passes a listed record on to the controller and remembers its key for finish_listing. */
 static void record_listed(void *context, const char *key, GBytes *data, uint64_t revision)
 {
     record_listing *listing = context;
@@ -79,7 +82,9 @@
     record_changed(listing->watch, key, data, revision);
 }
 
-/* What was cached and is not listed has been deleted meanwhile. */
+/* Reports to the controller that each cached record which the listing did not contain was deleted,
+ * and then that the cache is loaded. A record that is missing from the listing was deleted since
+ * the cache received it. */
 static void finish_listing(const record_listing *listing)
 {
     mv_state_watch *watch = listing->watch;
@@ -97,6 +102,8 @@
     mv_shared_controller_unlock(watch->controller);
 }
 
+/* Lists all records and sets the revision from which the next watch starts. Returns false if the
+ * listing failed. */
 static bool list_records(mv_state_watch *watch)
 {
     double now;
@@ -114,13 +121,15 @@
 
 /* --- length and interval of watches --- */
 
-/* Whether users ask more than the state service's limit leaves for them. */
+/* Returns whether users' polls, one per job every MV_POLL_INTERVAL_S, exceed MV_POLL_SHARE of the
+ * state service's rate limit. If so, polls wait for the next watch instead of reading records. */
 static bool polls_share_watches(const mv_state_watch *watch, const mv_controller *controller)
 {
     const double polls_per_s = mv_controller_job_count(controller) / MV_POLL_INTERVAL_S;
     return polls_per_s > MV_POLL_SHARE * watch->settings->state_store_rps;
 }
 
+/* Returns the length of the next watch: short while polls wait for the watch that follows. */
 static unsigned watch_length_ms(mv_state_watch *watch)
 {
     double now;
@@ -130,7 +139,9 @@
     return shared ? MV_WATCH_LENGTH_SHARED_MS : MV_WATCH_LENGTH_MS;
 }
 
-/* The more jobs there are, the more changes one watch may gather. */
+/* Returns the pause before the next watch. The pause grows with the number of jobs, because more
+ * jobs cause more changes, which one watch can then return together. Also tells the state store how
+ * many shard owners share the write budget. */
 static double watch_interval_s(mv_state_watch *watch)
 {
     double now;
@@ -154,6 +165,8 @@
     return present;
 }
 
+/* Tells the controller that its cache holds every change made before `sent`, and wakes the threads
+ * that wait for this. */
 static void report_caught_up(mv_state_watch *watch, double sent)
 {
     double now;
@@ -163,7 +176,8 @@
     mv_shared_controller_unlock(watch->controller);
 }
 
-/* Lists the records, or waits for changes to them. */
+/* Lists all records if a listing is due; otherwise waits for changes to the records. A listing is
+ * due again if the state service has compacted the revision from which the watch started. */
 static mv_state_store_result list_or_watch(mv_state_watch *watch)
 {
     if (!watch->listed) {
@@ -180,7 +194,8 @@
 static void run_watch(void *context)
 {
     mv_state_watch *watch = context;
-    /* Leases name the incarnation, so it has to be known before the first record is read. */
+    /* Lease records name the incarnation of their holder, so this controller has to know its own
+     * incarnation, which its first session sets, before the first record is read. */
     while (!has_session(watch))
         if (!mv_thread_group_sleep(watch->threads, MV_SESSION_RETRY_S / SESSION_POLLS_PER_RETRY))
             return;
@@ -200,7 +215,7 @@
     return mv_thread_group_start(watch->threads, run_watch, watch);
 }
 
-/* --- waiting for the cache --- */
+/* --- wait until the cache has caught up --- */
 
 bool mv_state_watch_wait_caught_up(mv_state_watch *watch)
 {
--- a/src/server/state_watch.h
+++ b/src/server/state_watch.h
@@ -1,6 +1,7 @@
 /**
- * The thread that keeps the controller's cache of the state service's records up to date: it lists
- * all records once and then watches for changes.
+ * The thread that keeps the controller's cache of the state service's records up to date. The
+ * thread lists all records and then watches them for changes; it lists them again only if the
+ * state service has compacted the revision from which the next watch would start.
  */
 #ifndef MV_STATE_WATCH_H
 #define MV_STATE_WATCH_H
@@ -11,26 +12,31 @@
 
 typedef struct mv_state_watch mv_state_watch;
 
-/** Borrows what it is given. The caller frees it. */
+/** Returns a watch, which the caller frees. The arguments have to outlive the watch. */
 mv_state_watch *mv_state_watch_new(const mv_settings *settings, mv_shared_controller *controller,
                                    mv_state_store *state_store, mv_thread_group *threads);
-/** Frees it; its threads have been joined. */
+/** Frees the watch. Its thread must have been joined before. */
 void mv_state_watch_free(mv_state_watch *watch);
-/** Starts the thread; false when it cannot be started. */
+/** Starts the watch's thread. Returns false if the thread cannot be started. */
 bool mv_state_watch_start(mv_state_watch *watch);
-/** Wakes all callers of mv_state_watch_wait_caught_up. Takes the controller's lock. */
+/**
+ * Wakes all callers of mv_state_watch_wait_caught_up and lets no later call wait. Takes the
+ * controller's lock.
+ */
 void mv_state_watch_stop(mv_state_watch *watch);
 
 /**
- * Where users ask more than the state service's limit leaves for them: waits, for
- * MV_POLL_WAIT_MAX_S at most, until the cache holds every change made before the call. False: the
- * cache may not be used, ask the state service.
+ * Waits, for MV_POLL_WAIT_MAX_S at most, until the cache holds every change made before the call.
+ * Returns true if the caller may use the cache, and false if the caller has to read the record from
+ * the state service. If users' polls fit into MV_POLL_SHARE of the state service's rate limit, the
+ * function returns false at once, because each poll can then read the record itself.
  *
- * A watch that was sent after a request arrived, and was answered, says as much of every job as a
- * read of this one at the state service does. With some 500 jobs, users' polls alone reached the
- * limit of the state service, and submissions were refused for them.
+ * Polls share watches because, with about 500 jobs, users' polls alone reached the rate limit of
+ * the state service, which then refused submissions. The cache is then as current as a read: a
+ * watch that was sent after a request arrived, and that has been answered, says as much about every
+ * job as a read of that job's record does.
  *
- * Takes the controller's lock, and releases it while it waits.
+ * Takes the controller's lock and releases it while it waits.
  */
 bool mv_state_watch_wait_caught_up(mv_state_watch *watch);
 #endif
--- a/src/server/transaction_executor.c
+++ b/src/server/transaction_executor.c
@@ -1,5 +1,5 @@
 /**
- * Commits the controller's transactions.
+ * Commits the controller's transactions to the state service.
  */
 #include "server/transaction_executor.h"
 
@@ -40,6 +40,7 @@
     }
 }
 
+/* Commits one transaction and reports the result to the controller. */
 static void execute(mv_transaction_executor *executor, const mv_action *action)
 {
     const double started = mv_monotonic_now();
