--- a/src/server/cloud_executor.c
+++ b/src/server/cloud_executor.c
@@ -1,5 +1,5 @@
 /**
- * Sends requests to the cloud.
+ * Sends the controller's requests to the cloud.
  */
 #include "server/cloud_executor.h"
 
@@ -16,7 +16,7 @@
     const mv_settings *settings;
     mv_shared_controller *controller;
     mv_thread_group *threads;
-    char address[80]; /* "10.0.0.1:8080" */
+    char address[80]; /* of the cloud: "10.0.0.1:8080" */
 };
 
 mv_cloud_executor *mv_cloud_executor_new(const mv_settings *settings,
@@ -41,9 +41,11 @@
 typedef struct {
     const char *method;
     char path[PATH_SIZE];
-    GBytes *body; /* owned; NULL: none */
+    GBytes *body; /* owned; NULL: the request has no body */
 } cloud_request;
 
+/* Builds the path for a page of the machine list: the page that starts after the machine
+ * `action->name`, or the first page if that name is empty. */
 static void build_list_path(const mv_action *action, char path[PATH_SIZE])
 {
     if (action->name[0])
@@ -78,8 +80,9 @@
 
 /* --- results --- */
 
-/* Whether the cloud certainly started nothing: the request was malformed, or there is no capacity.
- * Any other failure leaves it open. */
+/* Returns whether the response to a failed scale-out proves that the cloud started no machine: the
+ * cloud called the request malformed or has no capacity. After any other failure, the cloud may
+ * have started machines. */
 static bool scale_out_refused(int status, const mv_document *document)
 {
     if (!document)
@@ -111,7 +114,7 @@
     mv_shared_controller_unlock(executor->controller);
 }
 
-/* `document` NULL: there is no list. */
+/* Reports a page of the machine list to the controller. `document` NULL: the request failed. */
 static void machines_listed(mv_cloud_executor *executor, const mv_action *action,
                             const mv_document *document)
 {
@@ -124,7 +127,8 @@
     mv_shared_controller_unlock(executor->controller);
 }
 
-/* `document` NULL: there is no list. The controller takes the parsed one. */
+/* Reports the machine types to the controller, which takes ownership of the parsed list. `document`
+ * NULL: the request failed. */
 static void types_listed(mv_cloud_executor *executor, const mv_document *document)
 {
     GArray *types = document ? mv_machine_types_parse(mv_document_root(document)) : NULL;
@@ -134,6 +138,7 @@
     mv_shared_controller_unlock(executor->controller);
 }
 
+/* Reports the outcome of a request to the controller. */
 static void request_completed(mv_cloud_executor *executor, const mv_action *action,
                               const mv_http_result *result)
 {
@@ -158,8 +163,9 @@
 
 /* --- threads --- */
 
-/* An action that does not stand any more is not sent; the controller learns of it as of a request
- * without a response. */
+/* Sends the request of an action to the cloud and reports the outcome to the controller. If the
+ * action is no longer valid, the request is not sent, and the controller is told that the request
+ * got no response. */
 static void execute(mv_cloud_executor *executor, const mv_action *action)
 {
     const double started = mv_monotonic_now();
@@ -184,7 +190,8 @@
 static void run_cloud_requests(void *context)
 {
     mv_cloud_executor *executor = context;
-    /* Well within the cloud's limit: its threads take turns of at least this. */
+    /* Each thread pauses at least this long between two requests, so that all MV_CLOUD_THREADS
+     * threads together stay well within the cloud's rate limit. */
     const double pause_s = MV_CLOUD_THREADS / executor->settings->cloud_rps;
     mv_action *action;
     while ((action =
--- a/src/server/demand_publisher.c
+++ b/src/server/demand_publisher.c
@@ -1,5 +1,5 @@
 /**
- * Publishes the demand of shards to the leader.
+ * Publishes the demand of this controller's shards to the leader.
  */
 #include "server/demand_publisher.h"
 
@@ -22,6 +22,8 @@
     g_free(publisher);
 }
 
+/* Sends the demand of one shard to the leader, and gives the leader's response to the controller.
+ * If no response arrives, the demand is dropped. */
 static void publish(mv_demand_publisher *publisher, const mv_action *action)
 {
     g_autoptr(GBytes) request = mv_shard_demand_pack(action->demand);
--- a/src/server/demand_publisher.h
+++ b/src/server/demand_publisher.h
@@ -1,6 +1,6 @@
 /**
- * The thread that publishes the demand of this controller's shards to the leader, and gives the
- * leader's response to the controller.
+ * The thread that publishes the demand of this controller's shards to the leader. The thread passes
+ * the leader's responses, which describe the demand of the other shards, on to the controller.
  */
 #ifndef MV_DEMAND_PUBLISHER_H
 #define MV_DEMAND_PUBLISHER_H
@@ -11,10 +11,14 @@
 typedef struct mv_demand_publisher mv_demand_publisher;
 
 /** Borrows what it is given. The caller frees it. */
+/** Returns a publisher, which the caller frees. The arguments have to outlive the publisher. */
 mv_demand_publisher *mv_demand_publisher_new(mv_peer_client *peers,
                                              mv_shared_controller *controller);
-/** Frees it; its threads have been joined. */
+/** Frees the publisher. Its thread must have been joined before. */
 void mv_demand_publisher_free(mv_demand_publisher *publisher);
-/** Starts the thread; false when it cannot be started. It ends when the queues are closed. */
+/**
+ * Starts the thread, which ends when the queues are closed. Returns false if the thread cannot be
+ * started.
+ */
 bool mv_demand_publisher_start(mv_demand_publisher *publisher, mv_thread_group *threads);
 #endif
--- a/src/server/shared_controller.c
+++ b/src/server/shared_controller.c
@@ -1,5 +1,5 @@
 /**
- * The controller, its lock and the queues of what it has decided.
+ * The controller, the lock that guards it, and the queues of the actions that it has decided.
  */
 #include "server/shared_controller.h"
 
@@ -8,7 +8,7 @@
 #include "telemetry/log.h"
 
 struct mv_shared_controller {
-    pthread_mutex_t lock; /* guards all that follows */
+    pthread_mutex_t lock; /* guards the fields below */
     mv_controller *controller;
     mv_action_queue queues[MV_ACTION_QUEUES];
     mv_command_queues *commands;
@@ -44,6 +44,7 @@
     return shared->controller;
 }
 
+/* Returns the queue for an action of any kind but MV_ACTION_COMMAND. */
 static mv_action_queue_name queue_of(const mv_action *action)
 {
     switch (action->kind) {
@@ -74,7 +75,7 @@
     return pthread_cond_timedwait(cond, &shared->lock, deadline) == 0;
 }
 
-/* --- questions --- */
+/* --- queries --- */
 
 bool mv_shared_controller_state_reachable(mv_shared_controller *shared)
 {
--- a/src/server/shared_controller.h
+++ b/src/server/shared_controller.h
@@ -1,14 +1,14 @@
 /**
- * The controller as the threads of a server share it: the one lock that guards it, and the queues
- * of actions that it has decided.
+ * The controller that the threads of a server share: one lock that guards the controller, and the
+ * queues of the actions that the controller has decided.
  *
- * "The controller's lock" of the other headers is the lock in here. It is taken with
- * mv_shared_controller_lock and released with mv_shared_controller_unlock, which moves whatever the
- * controller has decided meanwhile to the queues. It is held for a moment only: nobody blocks on
- * the network, the disk or another thread while holding it.
+ * "The controller's lock" in the other headers is the lock of this module. A thread takes the lock
+ * with mv_shared_controller_lock and releases it with mv_shared_controller_unlock, which moves the
+ * actions that the controller has decided meanwhile to the queues. Threads hold the lock only
+ * briefly: no thread blocks on the network, the disk or another thread while it holds the lock.
  *
- * Order of locks: the controller's lock first, then the thread group's. No other lock of this
- * folder is taken while the controller's is held.
+ * Lock order: the controller's lock before the thread group's lock. A thread that holds the
+ * controller's lock takes no other lock of src/server.
  */
 #ifndef MV_SHARED_CONTROLLER_H
 #define MV_SHARED_CONTROLLER_H
@@ -20,55 +20,63 @@
 
 typedef struct mv_shared_controller mv_shared_controller;
 
-/** The queues, by what carries their actions out. Commands have queues of their own. */
+/** The queues, by the threads that take from them. Commands have the queues of command_queues.h. */
 typedef enum {
     MV_QUEUE_URGENT_TRANSACTIONS,
-    /* Transactions that can wait sleep until the write budget has room for them. In one queue with
-     * the urgent ones, two of them held up the release of dead machines for two seconds. */
+    /* Deferrable transactions block their thread until the write budget has room for them. When
+     * they shared a queue with urgent transactions, two deferrable ones delayed the release of dead
+     * machines by two seconds. */
     MV_QUEUE_DEFERRABLE_TRANSACTIONS,
     MV_QUEUE_CLOUD_REQUESTS,
     MV_QUEUE_SHARD_DEMANDS,
-    MV_ACTION_QUEUES
+    MV_ACTION_QUEUES /* number of queues */
 } mv_action_queue_name;
 
-/** A new controller and empty queues. `settings` have to outlive it. The caller frees it. */
+/** Returns a controller with empty queues, which the caller frees. `settings` has to outlive it. */
 mv_shared_controller *mv_shared_controller_new(const mv_settings *settings);
-/** Frees the controller and the actions that are left. All threads have ended. */
+/** Frees the controller and the actions in the queues. All threads must have ended before. */
 void mv_shared_controller_free(mv_shared_controller *shared);
 
-/** Takes the lock. Returns the controller and the monotonic time, read under the lock. */
+/** Takes the lock. Returns the controller, and in `now` the monotonic time, read under the lock. */
 mv_controller *mv_shared_controller_lock(mv_shared_controller *shared, double *now);
-/** Moves what the controller has decided to the queues, and releases the lock. */
+/** Moves the actions that the controller has decided to the queues and releases the lock. */
 void mv_shared_controller_unlock(mv_shared_controller *shared);
 /**
- * Waits for `cond`, with the lock held, which is released meanwhile. False when `deadline` (on the
- * monotonic clock) passed first.
+ * Waits for `cond`. The caller holds the lock, which is released during the wait. Returns false if
+ * `deadline` (on the monotonic clock) passes first.
  */
 bool mv_shared_controller_wait(mv_shared_controller *shared, pthread_cond_t *cond,
                                const struct timespec *deadline);
 
-/** Whether the state service answered lately. Takes the lock. */
+/**
+ * Returns whether the cache of the state service's records is loaded and this controller's session
+ * at the state service is certainly alive. Takes the lock.
+ */
 bool mv_shared_controller_state_reachable(mv_shared_controller *shared);
 /**
- * Whether an action that waited still stands; it is asked right before the action is carried out.
- * A process that stood still wakes up with actions in its queues, and in the hands of its threads,
- * that were decided under leases which have expired. A command that does not stand is reported to
- * the controller as dropped. Takes the lock.
+ * Returns whether an action that waited in a queue is still valid. An executor calls this function
+ * right before it executes the action, because a process that was suspended resumes with actions,
+ * in its queues and already taken by its threads, that were decided under leases which have expired
+ * since. If a command is not valid, this function reports it to the controller as dropped. Takes
+ * the lock.
  */
 bool mv_shared_controller_action_is_valid(mv_shared_controller *shared, const mv_action *action);
 
 /**
- * Waits for the next action of a queue; the caller frees it with mv_action_free. NULL: the server
- * is stopping. Takes the lock.
+ * Waits for the next action of a queue and returns it; the caller frees the action with
+ * mv_action_free. Returns NULL if the server is stopping. Takes the lock.
  */
 mv_action *mv_shared_controller_take_action(mv_shared_controller *shared,
                                             mv_action_queue_name queue);
-/** The same for the next command for a worker; see mv_command_queues_take. Takes the lock. */
+/**
+ * Waits for the next command for a worker and returns it, as mv_command_queues_take describes. The
+ * caller frees the command with mv_action_free. Takes the lock.
+ */
 mv_action *mv_shared_controller_take_command(mv_shared_controller *shared, unsigned worker);
-/** See mv_command_queues_enable_helpers. Takes the lock. */
+/** Enables helpers for the command queues (mv_command_queues_enable_helpers). Takes the lock. */
 void mv_shared_controller_enable_command_helpers(mv_shared_controller *shared,
                                                  mv_command_helper_start start_helper,
                                                  void *context);
-/** Closes all queues, which ends the threads that take from them. Takes the lock. */
+/** Closes all queues, so that the threads that take actions from them end. Takes the lock. */
 void mv_shared_controller_close_queues(mv_shared_controller *shared);
 #endif
