--- a/src/server/link_report_codec.c
+++ b/src/server/link_report_codec.c
@@ -1,11 +1,11 @@
 /**
- * Link health reports as protobuf messages.
+ * Packs and unpacks link health reports as protobuf messages.
  */
 #include "server/link_report_codec.h"
 
 #include "server/peer_codec.h"
 
-/** A message with the memory of its repeated fields, for as long as it takes to pack it. */
+/** A protobuf link report and the arrays of its repeated fields, which live until it is packed. */
 typedef struct {
     Mv__LinkReport message;
     Mv__PeerLink *links;
@@ -14,6 +14,7 @@
     Mv__CompletionSet **completion_list;
 } link_report_message;
 
+/* Sets the repeated field `peers` of the message. */
 static void fill_links(link_report_message *packed, const mv_link_report *report)
 {
     const guint count = report->peers->len;
@@ -33,6 +34,7 @@
     packed->message.peers = packed->link_list;
 }
 
+/* Sets the repeated field `completions` of the message. */
 static void fill_completions(link_report_message *packed, const mv_link_report *report)
 {
     const guint count = report->completions->len;
@@ -52,7 +54,7 @@
     packed->message.completions = packed->completion_list;
 }
 
-/* The message points into `report`, which has to outlive it. */
+/* Builds the message of a report. The message points into `report`, which has to outlive it. */
 static void link_report_message_init(link_report_message *packed, const mv_link_report *report)
 {
     Mv__LinkReport *to = &packed->message;
@@ -105,6 +107,7 @@
     return bytes;
 }
 
+/* Adds the message's links to the report. Returns false if the name of a peer is too long. */
 static bool read_links(const Mv__LinkReport *message, mv_link_report *report)
 {
     for (size_t i = 0; i < message->n_peers; i++) {
@@ -120,6 +123,7 @@
     return true;
 }
 
+/* Adds the message's completions to the report. Returns false if a job ID is too long. */
 static bool read_completions(const Mv__LinkReport *message, mv_link_report *report)
 {
     for (size_t i = 0; i < message->n_completions; i++) {
--- a/src/server/link_report_publisher.c
+++ b/src/server/link_report_publisher.c
@@ -1,5 +1,5 @@
 /**
- * Publishes link reports to the peers.
+ * Exchanges link reports with the peers.
  */
 #include "server/link_report_publisher.h"
 
@@ -8,8 +8,8 @@
 
 typedef struct {
     mv_link_report_publisher *publisher;
-    const char *name; /* of the peer */
-    mv_peer *peer;    /* a connection of its own */
+    const char *name; /* of the peer, as in the settings */
+    mv_peer *peer;    /* a connection for link reports only */
 } report_recipient;
 
 struct mv_link_report_publisher {
@@ -44,7 +44,8 @@
     g_free(publisher);
 }
 
-/* Returns the pause until the next report, seconds. */
+/* Sends one link report to the peer and gives the outcome, with the peer's own report if the
+ * response holds one, to the controller. Returns the pause before the next report in seconds. */
 static double publish(const report_recipient *recipient)
 {
     mv_shared_controller *shared = recipient->publisher->controller;
@@ -64,6 +65,7 @@
     return pause_s;
 }
 
+/* Sends link reports to one peer until the server stops. */
 static void run_recipient(void *context)
 {
     const report_recipient *recipient = context;
--- a/src/server/link_report_publisher.h
+++ b/src/server/link_report_publisher.h
@@ -1,8 +1,8 @@
 /**
- * The threads that exchange link health reports with the peers, where the launch gate is on.
+ * The threads that exchange link health reports with the peers if the launch gate is on.
  *
- * There is one thread for each peer, with a connection of its own: a peer that does not respond
- * delays neither the reports of others nor demands.
+ * Each peer has a thread and a connection of its own, so that a peer that does not respond delays
+ * neither the link reports to other peers nor the demands to the leader.
  */
 #ifndef MV_LINK_REPORT_PUBLISHER_H
 #define MV_LINK_REPORT_PUBLISHER_H
@@ -12,12 +12,15 @@
 
 typedef struct mv_link_report_publisher mv_link_report_publisher;
 
-/** Borrows what it is given. The caller frees it. */
+/** Returns a publisher, which the caller frees. The arguments have to outlive the publisher. */
 mv_link_report_publisher *mv_link_report_publisher_new(const mv_settings *settings,
                                                        mv_shared_controller *controller,
                                                        mv_thread_group *threads);
-/** Frees it; its threads have been joined. */
+/** Frees the publisher. Its threads must have been joined before. */
 void mv_link_report_publisher_free(mv_link_report_publisher *publisher);
-/** Starts the threads; none where no reports are published. False when one cannot be started. */
+/**
+ * Starts one thread for each peer, or no thread if the launch gate is off. Returns false if a
+ * thread cannot be started.
+ */
 bool mv_link_report_publisher_start(mv_link_report_publisher *publisher);
 #endif
--- a/src/server/peer_client.c
+++ b/src/server/peer_client.c
@@ -1,5 +1,5 @@
 /**
- * Requests to other controllers.
+ * Sends requests to other controllers.
  */
 #include "server/peer_client.h"
 
@@ -30,6 +30,8 @@
     g_free(client);
 }
 
+/* Sends the bytes of a request over `peer`. Returns the bytes of the response, which the caller
+ * owns, or NULL if none arrives within the timeout. */
 static GBytes *call(mv_peer *peer, GBytes *request, unsigned timeout_ms)
 {
     gsize size;
--- a/src/server/peer_client.h
+++ b/src/server/peer_client.h
@@ -1,8 +1,10 @@
 /**
- * Requests to other controllers: a connection to each, and what may be asked over it.
+ * Requests to other controllers: one connection to each peer, and the requests that are sent over
+ * it.
  *
- * Thread-safe: requests to the same peer wait for one another. All functions but new and free block
- * on the network; the controller's lock must not be held.
+ * Thread-safe: concurrent requests to the same peer wait for one another. All functions except
+ * mv_peer_client_new and mv_peer_client_free block on the network, so the caller must not hold the
+ * controller's lock.
  */
 #ifndef MV_PEER_CLIENT_H
 #define MV_PEER_CLIENT_H
@@ -13,25 +15,33 @@
 
 typedef struct mv_peer_client mv_peer_client;
 
-/** A client without open connections. `settings` have to outlive it. The caller frees it. */
+/** Returns an unconnected client, which the caller frees. `settings` has to outlive the client. */
 mv_peer_client *mv_peer_client_new(const mv_settings *settings);
-/** Closes the connections and frees the client; no thread uses it any more. */
+/** Closes the connections and frees the client. No thread may use the client any more. */
 void mv_peer_client_free(mv_peer_client *client);
 
 /**
- * Sends a packed request over `peer`. Returns the response, which the caller frees, or NULL when
- * none that can be read arrives within the timeout.
+ * Sends a packed request over `peer`. Returns the response, which the caller frees, or NULL if no
+ * readable response arrives within the timeout.
  */
 Mv__PeerResponse *mv_peer_exchange(mv_peer *peer, GBytes *request, unsigned timeout_ms);
-/** The same to the peer of this name; NULL also when no peer has it. */
+/**
+ * Sends a packed request to the peer of this name. Returns the response, which the caller frees, or
+ * NULL if no readable response arrives within the timeout or no peer has this name.
+ */
 Mv__PeerResponse *mv_peer_client_exchange(mv_peer_client *client, const char *name, GBytes *request,
                                           unsigned timeout_ms);
 /**
- * Forwards a user's request to the peers in turn until one can serve it. False: none can, and
- * `response` is as it was. Else `response` has status and body; the caller owns the body.
+ * Forwards a user's request to one peer after the other until a peer serves the request. A peer
+ * that does not respond or responds with MV_HTTP_STATUS_UNAVAILABLE has not served it. Returns true
+ * with the status and the body, which the caller owns, in `response`; returns false, with
+ * `response` unchanged, if no peer serves the request.
  */
 bool mv_peer_client_forward(mv_peer_client *client, const char *method, const char *path,
                             const uint8_t *body, size_t size, mv_http_response *response);
-/** Whether any peer responds now; true where there are no peers. */
+/**
+ * Sends health checks to one peer after the other until a peer responds. Returns whether a peer
+ * responded; true if the settings name no peers.
+ */
 bool mv_peer_client_any_responds(mv_peer_client *client);
 #endif
--- a/src/server/peer_codec.c
+++ b/src/server/peer_codec.c
@@ -1,9 +1,9 @@
 /**
- * Protobuf messages between controllers: envelopes, and the demand of a shard.
+ * Packs and unpacks protobuf messages between controllers: requests, responses and shard demands.
  */
 #include "server/peer_codec.h"
 
-/* --- envelopes --- */
+/* --- requests and responses --- */
 
 void mv_peer_request_free(Mv__PeerRequest *request)
 {
@@ -26,7 +26,9 @@
 GBytes *mv_peer_response_pack(const Mv__PeerResponse *response)
 {
     const size_t size = mv__peer_response__get_packed_size(response);
-    uint8_t *bytes = g_malloc(size + 1); /* a response of defaults only has no bytes at all */
+    /* A response whose fields all have default values packs into 0 bytes, for which g_malloc would
+     * return NULL. */
+    uint8_t *bytes = g_malloc(size + 1);
     mv__peer_response__pack(response, bytes);
     return g_bytes_new_take(bytes, size);
 }
@@ -39,7 +41,7 @@
     return pointers;
 }
 
-/* --- demand of a shard --- */
+/* --- shard demand --- */
 
 static void fill_resource_demand(Mv__ResourceDemand *message, mv_resource_demand *demand)
 {
--- a/src/server/peer_health.c
+++ b/src/server/peer_health.c
@@ -1,5 +1,5 @@
 /**
- * Whether any peer responds.
+ * Checks whether any peer responds while the state service is out of reach.
  */
 #include "server/peer_health.h"
 
@@ -7,7 +7,7 @@
     mv_peer_client *peers;
     mv_shared_controller *controller;
     mv_thread_group *threads;
-    gint any_reachable; /* atomic */
+    gint any_reachable; /* atomic; result of the last check */
 };
 
 mv_peer_health *mv_peer_health_new(mv_peer_client *peers, mv_shared_controller *controller,
@@ -25,6 +25,7 @@
     g_free(health);
 }
 
+/* Sends health checks to the peers while the state service is out of reach. */
 static void run_health_checks(void *context)
 {
     mv_peer_health *health = context;
--- a/src/server/peer_health.h
+++ b/src/server/peer_health.h
@@ -1,7 +1,8 @@
 /**
- * The thread that finds out whether any peer responds while the state service does not.
+ * The thread that checks whether any peer responds while the state service is out of reach.
  *
- * Health checks of this controller are answered at once, so peers are asked beforehand.
+ * This controller's health endpoint has to respond at once, so the thread asks the peers in advance
+ * and the endpoint reads the result of the last check.
  */
 #ifndef MV_PEER_HEALTH_H
 #define MV_PEER_HEALTH_H
@@ -11,16 +12,17 @@
 
 typedef struct mv_peer_health mv_peer_health;
 
-/** Borrows what it is given. The caller frees it. */
+/** Returns a peer health check, which the caller frees. The arguments have to outlive it. */
 mv_peer_health *mv_peer_health_new(mv_peer_client *peers, mv_shared_controller *controller,
                                    mv_thread_group *threads);
-/** Frees it; its threads have been joined. */
+/** Frees the health check. Its thread must have been joined before. */
 void mv_peer_health_free(mv_peer_health *health);
-/** Starts the thread; false when it cannot be started. */
+/** Starts the thread. Returns false if the thread cannot be started. */
 bool mv_peer_health_start(mv_peer_health *health);
 /**
- * Whether a peer responded when peers were last asked, which happens only while the state service
- * is out of reach; true without peers. Never blocks; from any thread.
+ * Returns whether any peer responded to the last check; true if the settings name no peers. Checks
+ * run only while the state service is out of reach, so the result may be old while the state
+ * service is in reach. Never blocks; may be called from any thread.
  */
 bool mv_peer_health_any_reachable(mv_peer_health *health);
 #endif
--- a/src/server/peer_message_handler.c
+++ b/src/server/peer_message_handler.c
@@ -1,5 +1,5 @@
 /**
- * Responses to the messages of other controllers.
+ * Handles the messages of other controllers and packs the responses.
  */
 #include "server/peer_message_handler.h"
 
@@ -7,6 +7,8 @@
 #include "server/peer_codec.h"
 #include "server/request_router.h"
 
+/* Gives a shard owner's demand to the controller. The response holds the demand of the other
+ * shards. */
 static GBytes *handle_demand(mv_shared_controller *shared, const Mv__ShardDemand *message)
 {
     mv_shard_demand *demand = mv_shard_demand_unpack(message);
@@ -21,6 +23,7 @@
     return mv_peer_response_pack(&response);
 }
 
+/* The response says whether this controller reaches the state service. */
 static GBytes *handle_health_check(mv_shared_controller *shared)
 {
     Mv__PeerResponse response = MV__PEER_RESPONSE__INIT;
@@ -28,6 +31,7 @@
     return mv_peer_response_pack(&response);
 }
 
+/* Serves a user's request that a peer forwarded. The response holds the HTTP status and body. */
 static GBytes *handle_forwarded_request(const mv_request_services *services,
                                         const Mv__ForwardedRequest *message)
 {
@@ -49,8 +53,9 @@
     return packed;
 }
 
-/* A controller whose operators have not turned the launch gate on responds as a version before it
- * does: without a report. */
+/* Gives a peer's link report to the controller. The response holds this controller's own report. If
+ * the operators have not turned the launch gate on, the report is ignored and the response is
+ * empty, as from a version that has no launch gate. */
 static GBytes *handle_link_report(mv_shared_controller *shared, const Mv__LinkReport *message)
 {
     g_autoptr(mv_link_report) own = NULL;
