--- a/src/server/command_queues.c
+++ b/src/server/command_queues.c
@@ -44,7 +44,7 @@
 
 /* Returns whether the queue's worker is stalled: busy with one command for at least
  * MV_COMMAND_QUEUE_SLOW_S. */
-static bool is_held_up(const command_queue *queue)
+static bool is_stalled(const command_queue *queue)
 {
     return queue->busy_since > 0 &&
            mv_monotonic_now() >= queue->busy_since + MV_COMMAND_QUEUE_SLOW_S;
@@ -77,17 +77,17 @@
 {
     command_queue *own = &queues->queues[g_str_hash(command->machine) % MV_COMMAND_THREADS];
     mv_action_queue_put(&own->queue, command);
-    if (is_held_up(own) && !wake_idle_worker(queues))
+    if (is_stalled(own) && !wake_idle_worker(queues))
         add_helper(queues);
 }
 
 /* Removes and returns the oldest command in the queue of the first stalled worker whose queue is
  * not empty. Returns NULL if no stalled worker has a command in its queue. */
-static mv_action *take_from_held_up(mv_command_queues *queues)
+static mv_action *take_from_stalled_queue(mv_command_queues *queues)
 {
     mv_action *command = NULL;
     for (unsigned i = 0; i < MV_COMMAND_THREADS && !command; i++)
-        if (is_held_up(&queues->queues[i]))
+        if (is_stalled(&queues->queues[i]))
             command = g_queue_pop_head(&queues->queues[i].queue.actions);
     return command;
 }
@@ -100,7 +100,7 @@
     while (!queues->closed) {
         command = g_queue_pop_head(&own->queue.actions);
         if (!command)
-            command = take_from_held_up(queues);
+            command = take_from_stalled_queue(queues);
         if (command)
             break;
         pthread_cond_wait(&own->queue.available, lock);
--- a/src/server/link_report_codec.c
+++ b/src/server/link_report_codec.c
@@ -15,13 +15,13 @@
 } link_report_message;
 
 /* Sets the repeated field `peers` of the message. */
-static void fill_links(link_report_message *packed, const mv_link_report *report)
+static void fill_links(link_report_message *outgoing, const mv_link_report *report)
 {
     const guint count = report->peers->len;
-    packed->links = g_new0(Mv__PeerLink, count + 1);
+    outgoing->links = g_new0(Mv__PeerLink, count + 1);
     for (guint i = 0; i < count; i++) {
         mv_peer_link *from = &g_array_index(report->peers, mv_peer_link, i);
-        Mv__PeerLink *to = &packed->links[i];
+        Mv__PeerLink *to = &outgoing->links[i];
         mv__peer_link__init(to);
         to->node = from->peer;
         to->received_boot = from->received_boot;
@@ -29,35 +29,35 @@
         to->last_message_age_s = from->last_message_age_s;
         to->answered_request_age_s = from->answered_request_age_s;
     }
-    packed->link_list = mv_repeated_field(packed->links, count, sizeof *packed->links);
-    packed->message.n_peers = count;
-    packed->message.peers = packed->link_list;
+    outgoing->link_list = mv_repeated_field(outgoing->links, count, sizeof *outgoing->links);
+    outgoing->message.n_peers = count;
+    outgoing->message.peers = outgoing->link_list;
 }
 
 /* Sets the repeated field `completions` of the message. */
-static void fill_completions(link_report_message *packed, const mv_link_report *report)
+static void fill_completions(link_report_message *outgoing, const mv_link_report *report)
 {
     const guint count = report->completions->len;
-    packed->completions = g_new0(Mv__CompletionSet, count + 1);
+    outgoing->completions = g_new0(Mv__CompletionSet, count + 1);
     for (guint i = 0; i < count; i++) {
         mv_completion_set *from = g_ptr_array_index(report->completions, i);
-        Mv__CompletionSet *to = &packed->completions[i];
+        Mv__CompletionSet *to = &outgoing->completions[i];
         gsize size;
         mv__completion_set__init(to);
         to->job_id = from->job_id;
         to->tasks.data = (uint8_t *)g_bytes_get_data(from->tasks, &size);
         to->tasks.len = size;
     }
-    packed->completion_list =
-        mv_repeated_field(packed->completions, count, sizeof *packed->completions);
-    packed->message.n_completions = count;
-    packed->message.completions = packed->completion_list;
+    outgoing->completion_list =
+        mv_repeated_field(outgoing->completions, count, sizeof *outgoing->completions);
+    outgoing->message.n_completions = count;
+    outgoing->message.completions = outgoing->completion_list;
 }
 
 /* Builds the message of a report. The message points into `report`, which has to outlive it. */
-static void link_report_message_init(link_report_message *packed, const mv_link_report *report)
+static void link_report_message_init(link_report_message *outgoing, const mv_link_report *report)
 {
-    Mv__LinkReport *to = &packed->message;
+    Mv__LinkReport *to = &outgoing->message;
     mv__link_report__init(to);
     to->node = (char *)report->node;
     to->boot = report->boot;
@@ -72,38 +72,38 @@
     to->failures = report->failures;
     to->launches_held = report->launches_held;
     to->completions_unrecorded = report->completions_unrecorded;
-    fill_links(packed, report);
-    fill_completions(packed, report);
+    fill_links(outgoing, report);
+    fill_completions(outgoing, report);
 }
 
-static void link_report_message_clear(link_report_message *packed)
+static void link_report_message_clear(link_report_message *outgoing)
 {
-    g_free(packed->links);
-    g_free(packed->link_list);
-    g_free(packed->completions);
-    g_free(packed->completion_list);
+    g_free(outgoing->links);
+    g_free(outgoing->link_list);
+    g_free(outgoing->completions);
+    g_free(outgoing->completion_list);
 }
 
 GBytes *mv_link_report_pack(const mv_link_report *report)
 {
-    link_report_message packed;
-    link_report_message_init(&packed, report);
+    link_report_message outgoing;
+    link_report_message_init(&outgoing, report);
     Mv__PeerRequest request = MV__PEER_REQUEST__INIT;
     request.kind_case = MV__PEER_REQUEST__KIND_LINK_REPORT;
-    request.link_report = &packed.message;
+    request.link_report = &outgoing.message;
     GBytes *bytes = mv_peer_request_pack(&request);
-    link_report_message_clear(&packed);
+    link_report_message_clear(&outgoing);
     return bytes;
 }
 
 GBytes *mv_link_report_response_pack(const mv_link_report *report)
 {
-    link_report_message packed;
-    link_report_message_init(&packed, report);
+    link_report_message outgoing;
+    link_report_message_init(&outgoing, report);
     Mv__PeerResponse response = MV__PEER_RESPONSE__INIT;
-    response.link_report = &packed.message;
+    response.link_report = &outgoing.message;
     GBytes *bytes = mv_peer_response_pack(&response);
-    link_report_message_clear(&packed);
+    link_report_message_clear(&outgoing);
     return bytes;
 }
 
