--- a/src/server/action_queue.h
+++ b/src/server/action_queue.h
@@ -1,9 +1,9 @@
 /**
  * A queue of actions that the controller has decided and that wait for a thread to execute them.
  *
- * Locks: a queue has no lock of its own; the controller's lock (shared_controller.h) guards it. The
- * caller has to hold that lock for every function except mv_action_queue_init and
- * mv_action_queue_clear. The queue owns the actions in it.
+ * Locks: a queue has no lock of its own; the controller's lock (shared_controller.h) guards the
+ * queue. The caller has to hold that lock for every function except mv_action_queue_init and
+ * mv_action_queue_clear. The queue owns its actions.
  */
 #ifndef MV_ACTION_QUEUE_H
 #define MV_ACTION_QUEUE_H
--- a/src/server/command_executor.c
+++ b/src/server/command_executor.c
@@ -40,7 +40,7 @@
 }
 
 /* Reports the outcome of a command to the controller, with the agent's heartbeat if the response
- * holds one. */
+ * holds a heartbeat. */
 static void command_completed(mv_command_executor *executor, const mv_action *command,
                               const mv_http_result *result)
 {
--- a/src/server/command_queues.c
+++ b/src/server/command_queues.c
@@ -8,7 +8,7 @@
 
 typedef struct {
     mv_action_queue queue;
-    double busy_since; /* when the queue's worker took its current command; 0: it is idle */
+    double busy_since; /* when the worker took its current command; 0: the worker is idle */
 } command_queue;
 
 struct mv_command_queues {
--- a/src/server/link_report_publisher.c
+++ b/src/server/link_report_publisher.c
@@ -45,7 +45,8 @@
 }
 
 /* Sends one link report to the peer and gives the outcome, with the peer's own report if the
- * response holds one, to the controller. Returns the pause before the next report in seconds. */
+ * response holds a report, to the controller. Returns the pause before the next report in seconds.
+ */
 static double publish(const report_recipient *recipient)
 {
     mv_shared_controller *shared = recipient->publisher->controller;
--- a/src/server/peer_client.h
+++ b/src/server/peer_client.h
@@ -1,6 +1,6 @@
 /**
- * Requests to other controllers: one connection to each peer, and the requests that are sent over
- * it.
+ * Requests to other controllers: one connection to each peer, and the requests that this
+ * controller sends over that connection.
  *
  * Thread-safe: concurrent requests to the same peer wait for one another. All functions except
  * mv_peer_client_new and mv_peer_client_free block on the network, so the caller must not hold the
@@ -33,9 +33,9 @@
                                           unsigned timeout_ms);
 /**
  * Forwards a user's request to one peer after the other until a peer serves the request. A peer
- * that does not respond or responds with MV_HTTP_STATUS_UNAVAILABLE has not served it. Returns true
- * with the status and the body, which the caller owns, in `response`; returns false, with
- * `response` unchanged, if no peer serves the request.
+ * that does not respond or responds with MV_HTTP_STATUS_UNAVAILABLE has not served the request.
+ * Returns true with the status and the body, which the caller owns, in `response`; returns false,
+ * with `response` unchanged, if no peer serves the request.
  */
 bool mv_peer_client_forward(mv_peer_client *client, const char *method, const char *path,
                             const uint8_t *body, size_t size, mv_http_response *response);
--- a/src/server/peer_health.h
+++ b/src/server/peer_health.h
@@ -12,7 +12,7 @@
 
 typedef struct mv_peer_health mv_peer_health;
 
-/** Returns a peer health check, which the caller frees. The arguments have to outlive it. */
+/** Returns a health check, which the caller frees. The arguments have to outlive the check. */
 mv_peer_health *mv_peer_health_new(mv_peer_client *peers, mv_shared_controller *controller,
                                    mv_thread_group *threads);
 /** Frees the health check. Its thread must have been joined before. */
--- a/src/server/state_session.c
+++ b/src/server/state_session.c
@@ -12,7 +12,7 @@
     mv_thread_group *threads;
     /* Only the session's thread uses the fields below. */
     uint64_t incarnation; /* lease ID of the process's first session; 0: none yet */
-    bool open;            /* false: no session yet, or the last one is known to be lost */
+    bool open;            /* false: no session was opened, or the session is lost */
 };
 
 mv_state_session *mv_state_session_new(mv_shared_controller *controller,
@@ -77,7 +77,7 @@
             mv_log_limited(MV_LOG_INFO, "session_renewal_failed", "result=%d session_open=%d",
                            result, session->open);
         if (result == MV_STATE_STORE_NOT_FOUND)
-            continue; /* the session is lost: open a new one without a pause */
+            continue; /* the session is lost: open a new session without a pause */
         const double pause_s =
             result == MV_STATE_STORE_OK ? MV_SESSION_RENEW_S : MV_SESSION_RETRY_S;
         if (!mv_thread_group_sleep(session->threads, pause_s))
--- a/src/server/state_watch.c
+++ b/src/server/state_watch.c
@@ -166,7 +166,7 @@
 }
 
 /* Tells the controller that its cache holds every change made before `sent`, and wakes the threads
- * that wait for this. */
+ * that wait in mv_state_watch_wait_caught_up. */
 static void report_caught_up(mv_state_watch *watch, double sent)
 {
     double now;
--- a/src/server/state_watch.h
+++ b/src/server/state_watch.h
@@ -1,7 +1,7 @@
 /**
  * The thread that keeps the controller's cache of the state service's records up to date. The
- * thread lists all records and then watches them for changes; it lists them again only if the
- * state service has compacted the revision from which the next watch would start.
+ * thread lists all records and then watches the records for changes. If the state service has
+ * compacted the revision from which a watch starts, the thread lists all records again.
  */
 #ifndef MV_STATE_WATCH_H
 #define MV_STATE_WATCH_H
@@ -28,8 +28,9 @@
 /**
  * Waits, for MV_POLL_WAIT_MAX_S at most, until the cache holds every change made before the call.
  * Returns true if the caller may use the cache, and false if the caller has to read the record from
- * the state service. If users' polls fit into MV_POLL_SHARE of the state service's rate limit, the
- * function returns false at once, because each poll can then read the record itself.
+ * the state service. If users' polls stay within MV_POLL_SHARE of the state service's rate limit,
+ * the function returns false at once, because each poll can then read the record from the state
+ * service.
  *
  * Polls share watches because, with about 500 jobs, users' polls alone reached the rate limit of
  * the state service, which then refused submissions. The cache is then as current as a read: a
