--- a/src/connectivity/launch_gate.c
+++ b/src/connectivity/launch_gate.c
@@ -1,5 +1,6 @@
 /**
- * The launch gate. States: open, closed with broken links, closed and waiting for stable links.
+ * The launch gate has three states: open; closed with a broken link to the state service; closed
+ * with a working link whose hold-down time is not over yet.
  */
 #include "connectivity/launch_gate.h"
 
@@ -13,9 +14,10 @@
     return MIN(hold_down_s, MV_HOLD_DOWN_MAX_S);
 }
 
-/* A break while the gate is open, or while it waits for stable links, makes the next wait twice as
- * long: a partition that heals and breaks again within seconds would otherwise open it each time.
- * While this process is overloaded only the first break counts: the others may be its own doing. */
+/* Each counted break doubles the hold-down time, up to MV_HOLD_DOWN_MAX_S. Without this, a
+ * partition that heals and breaks again within seconds would open the gate each time. While this
+ * process is overloaded, only the first break in a row is counted, because the overload itself can
+ * cause the further ones. */
 static void count_break(mv_launch_gate *gate, double now, bool overloaded)
 {
     if (now > gate->broken_at + MV_HOLD_DOWN_RESET_S)
@@ -26,6 +28,9 @@
     gate->hold_down_s = hold_down_after(gate->break_count);
 }
 
+/* Closes the gate. The failure counts as a new break only if the gate was open, or if the gate was
+ * closed and the link was working (`stable_since` is set). Otherwise the link is still broken and
+ * its break has been counted already. */
 static void close_gate(mv_launch_gate *gate, double now, bool overloaded)
 {
     const bool was_waiting = gate->stable_since > 0;
@@ -36,8 +41,10 @@
     gate->scope = MV_LAUNCH_SCOPE_NONE;
 }
 
-/* During the grace period nothing changes: a slow state service is suspected every few seconds, and
- * the peers, who see the same, report that at once. */
+/* During the grace period (MV_SUSPECT_GRACE_S) an open gate stays open: a slow state service is
+ * suspected every few seconds, and the peers, which see the same failure, report it at once, so
+ * that this controller can classify the failure within the grace period. The hold-down time of a
+ * closed gate starts anew. */
 static void close_after_grace(mv_launch_gate *gate, double now, const mv_gate_input *input)
 {
     gate->stable_since = 0;
@@ -45,7 +52,8 @@
         close_gate(gate, now, input->overloaded);
 }
 
-/* An outage for everybody is no break of our own link: what was counted as one is taken back. */
+/* In an outage the state service answers no controller, so this controller's own link did not
+ * break. A closed gate shows that the failure was counted as a break; that break is subtracted. */
 static void open_for_outage(mv_launch_gate *gate, const mv_gate_input *input)
 {
     static const mv_launch_scope SCOPES[] = {[MV_LAUNCH_WHILE_LEASED] = MV_LAUNCH_SCOPE_ALL,
@@ -65,8 +73,9 @@
     gate->scope = MV_LAUNCH_SCOPE_ALL;
 }
 
-/* Besides stable links, the state cache has to have caught up again: jobs that were cancelled
- * during the partition are known then. */
+/* A closed gate opens when the link to the state service has been stable for the hold-down time and
+ * the state cache holds every change made before the link recovered. Only then does this controller
+ * know which jobs were cancelled during the partition. */
 static void open_when_stable(mv_launch_gate *gate, double now, const mv_gate_input *input)
 {
     if (!gate->closed) {
@@ -98,7 +107,7 @@
     case MV_LINKS_NO_WORKERS:
         open_when_stable(gate, now, input);
         break;
-    default: /* it has never reached the state service, and owns nothing */
+    default: /* this controller has never reached the state service, so it owns no shard */
         gate->scope = MV_LAUNCH_SCOPE_NONE;
         break;
     }
--- a/src/connectivity/link_classifier.c
+++ b/src/connectivity/link_classifier.c
@@ -1,11 +1,13 @@
 /**
- * Classification of links. A peer's recent report is the witness by which an outage of the state
- * service is told from the isolation of this controller.
+ * Classification of links. If the state service does not answer, the recent link reports of the
+ * peers serve as witnesses: they show whether the state service has an outage or this controller is
+ * isolated.
  */
 #include "connectivity/link_classifier.h"
 
-/* Whether the state service answered a peer well after its last answer to us. In an outage for all
- * the last answers are no further apart than two renewals. */
+/* Returns whether the state service answered the peer more than MV_WITNESS_GAP_S after its last
+ * answer to this controller. In an outage, the last answers to two controllers are no further apart
+ * than two renewals, so a larger gap shows that this controller is isolated. */
 static bool was_answered_later(const mv_link_observations *observations, const mv_peer_entry *peer,
                                double now)
 {
@@ -22,8 +24,11 @@
     return peer->report_as_of - peer_age_s > our_last_answer + MV_WITNESS_GAP_S;
 }
 
-/* Whether a peer reports requests to the state service that were not answered. One that started
- * just now, or that was paused, has had no answer for other reasons and is no witness. */
+/* Returns whether the peer reports requests that the state service did not answer. If the peer
+ * has just started, or if its process was paused, then the last answer is missing or old for a
+ * reason other than the state service. Therefore a missing or old answer counts only if renewals
+ * have failed too. If renewals are answered, an old watch answer alone counts, because it shows
+ * that watches are not answered. */
 static bool reports_unanswered_requests(const mv_link_report *report)
 {
     if (report->state_age_s == MV_NEVER)
@@ -33,7 +38,8 @@
     return report->failures > 0;
 }
 
-/* No peer decided the question within its time: the operators' setting does. */
+/* Returns the class that the operators' setting prescribes. It is used when the peers' reports did
+ * not decide between outage and isolation within MV_WITNESS_REPORT_TIMEOUT_S. */
 static mv_link_class class_without_witness(const mv_settings *settings)
 {
     const bool assume_outage =
@@ -41,11 +47,12 @@
     return assume_outage ? MV_LINKS_OUTAGE : MV_LINKS_ISOLATED;
 }
 
-/* The state service does not answer: is that so for us alone? One peer that was answered since
- * decides it. Otherwise it is an outage if a majority of controllers, ourselves among them, gets no
- * answers and none of those that can be asked is still answered: with two controllers cut off at
- * once, each would otherwise take the other for a witness before the third could have been answered
- * later. */
+/* Decides why the state service does not answer. If one peer was answered clearly later than this
+ * controller, this controller is isolated. Otherwise the state service has an outage if a majority
+ * of all controllers, including this one, gets no answers and no peer with a recent report still
+ * gets answers. The second condition is for two controllers that are cut off at the same time while
+ * a third one still gets answers: without it, each of the two would take the other as a witness of
+ * an outage before the state service could have answered the third one clearly later. */
 static mv_link_class classify_state_loss(const mv_link_observations *observations, double now)
 {
     unsigned unanswered = 1;
--- a/src/connectivity/link_classifier.h
+++ b/src/connectivity/link_classifier.h
@@ -1,23 +1,26 @@
 /**
- * Classification of this controller's links: which of them fail, and whether a state service that
- * does not answer is down for everybody or out of reach for this controller alone.
+ * Classification of this controller's links. The class says which links fail. If the state service
+ * does not answer, the class also says whether the service is down for all controllers (an outage)
+ * or unreachable for this controller alone (isolation).
  *
- * Pure: a function of the observations and of the time in steady seconds.
+ * The module is pure: the class is a function of the observations and of the time, in seconds of a
+ * monotonic clock.
  */
 #ifndef MV_LINK_CLASSIFIER_H
 #define MV_LINK_CLASSIFIER_H
 #include "connectivity/peer_table.h"
 #include "connectivity/state_link.h"
 
-/** All that is known of the links. */
+/** What this controller has observed on its links. */
 typedef struct {
     const mv_settings *settings; /**< not owned */
     mv_state_link state;
     mv_peer_table peers;
-    bool workers_expected;           /**< machines should send heartbeats */
-    double last_worker_heartbeat_at; /**< 0: never */
+    bool workers_expected; /**< whether machines should be sending heartbeats to this controller */
+    double last_worker_heartbeat_at; /**< when the last heartbeat of a machine arrived; 0: never */
 } mv_link_observations;
 
-/** The class of the links at `now`; `state` must have been updated for that time. */
+/** Returns the class of the links at `now`. The caller must have called mv_state_link_update on the
+ * `state` of the observations for the same time. */
 mv_link_class mv_links_classify(const mv_link_observations *observations, double now);
 #endif
