--- a/src/connectivity/connectivity.c
+++ b/src/connectivity/connectivity.c
@@ -1,5 +1,5 @@
 /**
- * Connectivity: the composition of the state link, the peers, the classifier and the launch gate.
+ * Connectivity combines the state link, the peer table, the link classifier and the launch gate.
  */
 #include "connectivity/connectivity.h"
 
--- a/src/connectivity/peer_table.c
+++ b/src/connectivity/peer_table.c
@@ -1,5 +1,6 @@
 /**
- * The table of peers: probes, receipt of reports, links as they are published.
+ * The table of peers: records answers to requests, accepts or rejects the peers' link reports, and
+ * lists the links to the peers for this controller's own report.
  */
 #include "connectivity/peer_table.h"
 
@@ -71,9 +72,10 @@
     peer->answered_at = MAX(peer->answered_at, sent_at);
 }
 
-/* A sequence number orders the reports of one process. Those of two processes of a controller are
- * ordered by which of our reports had arrived when they were made: a boot number has no order of
- * its own, and the later process cannot have received less. */
+/* Returns whether `report` is newer than the report that the entry holds. Two reports of the same
+ * process are ordered by their sequence numbers. Boot numbers have no order, so two reports of
+ * different processes of the peer are ordered by when this controller published the reports that
+ * they confirm: the later process cannot confirm an older report than the former process did. */
 static bool is_newer(const mv_peer_entry *peer, const mv_link_report *report, double confirmed_at)
 {
     if (!peer->report)
@@ -83,6 +85,8 @@
     return confirmed_at > peer->report_as_of;
 }
 
+/* Records the report as received, unless an equally new or newer one of the same process was
+ * received before. The next report of this controller confirms the receipt to the peer. */
 static void confirm_receipt(mv_peer_entry *peer, double now, const mv_link_report *report)
 {
     if (report->boot == peer->received_boot && report->sequence <= peer->received_sequence)
@@ -95,8 +99,8 @@
 mv_link_report_status mv_peer_entry_receive(mv_peer_entry *peer, double now,
                                             const mv_link_report *report, double confirmed_at)
 {
-    /* Receipt is confirmed even of a report that itself confirms nothing: without that no
-     * confirmation could ever begin. */
+    /* Receipt is confirmed even if the peer's report itself confirms nothing: otherwise two
+     * controllers that have just started would each wait for the other's first confirmation. */
     confirm_receipt(peer, now, report);
     if (confirmed_at == 0)
         return MV_LINK_REPORT_UNCONFIRMED;
--- a/src/connectivity/peer_table.h
+++ b/src/connectivity/peer_table.h
@@ -1,23 +1,25 @@
 /**
- * The other controllers as seen from this one: whether they answer, and the newest report of each.
+ * The table of peers (the other controllers). For each peer the table holds whether the peer
+ * answers this controller's requests, and the peer's newest link report.
  *
- * Pure: times are steady seconds that the caller brings, 0 means never. Not thread-safe; the owner
- * of the table serializes the calls.
+ * The module is pure: the caller passes all times, in seconds of a monotonic clock; 0 means never.
+ * The module is not thread-safe; the owner of the table serializes the calls.
  */
 #ifndef MV_PEER_TABLE_H
 #define MV_PEER_TABLE_H
 #include "config/settings.h"
 #include "connectivity/link_report.h"
 
-/** One peer. */
+/** What this controller knows of one peer. */
 typedef struct {
-    const char *name;       /**< owned by the settings */
-    double last_message_at; /**< when anything arrived from it */
-    double answered_at;     /**< when the last request that it answered was sent */
-    unsigned failures;      /**< requests without an answer in a row */
-    uint64_t received_boot, received_sequence; /**< newest report received, confirmed in ours */
-    mv_link_report *report;                    /**< newest accepted report, owned; NULL: none */
-    double report_as_of;                       /**< that report was made after this time */
+    const char *name;           /**< owned by the settings */
+    double last_message_at;     /**< when the peer's last new report arrived */
+    double answered_at;         /**< when the last request that the peer answered was sent */
+    unsigned failures;          /**< requests in a row that the peer did not answer */
+    uint64_t received_boot;     /**< process that made the newest received report; 0: none */
+    uint64_t received_sequence; /**< of that report, to confirm its receipt to the peer */
+    mv_link_report *report;     /**< newest accepted report, owned; NULL: none */
+    double report_as_of;        /**< the peer made `report` after this time */
 } mv_peer_entry;
 
 /** All peers, in the order of the settings. */
@@ -29,30 +31,33 @@
 /** Sets up one entry for each peer of the settings, which must outlive the table. */
 void mv_peer_table_init(mv_peer_table *table, const mv_settings *settings);
 
-/** Frees what the table owns. */
+/** Frees the entries and their reports. */
 void mv_peer_table_clear(mv_peer_table *table);
 
-/** The entry of the peer of that name; NULL: the settings name no such peer. */
+/** Returns the entry of the peer of that name, or NULL if the settings name no such peer. */
 mv_peer_entry *mv_peer_table_find(const mv_peer_table *table, const char *name);
 
-/** Whether there are peers and none of them has answered for a while. */
+/** Returns whether every peer is unreachable: at least MV_PEER_LINK_FAILURES requests in a row
+ * without an answer, and no answer for MV_PEER_LINK_TIMEOUT_S. False if the settings name no peer.
+ */
 bool mv_peer_table_is_unreachable(const mv_peer_table *table, double now);
 
-/** Appends the link to each peer to `links` (mv_peer_link), with ages at `now`. */
+/** Appends an mv_peer_link for each peer to `links`, with its ages as of `now`. */
 void mv_peer_table_append_links(const mv_peer_table *table, double now, GArray *links);
 
-/** A request to the peer, sent at `sent_at`, was answered or not. */
+/** Records whether the peer answered a request that was sent at `sent_at`. */
 void mv_peer_entry_probed(mv_peer_entry *peer, double sent_at, bool answered);
 
-/** Takes in a valid report of the peer; a copy is kept if it is accepted. `confirmed_at` is when
- * the report of ours was published that it confirms, 0: none. Returns ACCEPTED, UNCONFIRMED or
- * STALE. */
+/** Records the receipt of a valid report of the peer and copies the report if it is accepted.
+ * `confirmed_at` is when this controller published the report whose receipt the peer's report
+ * confirms; 0: the peer's report confirms none. Returns ACCEPTED, UNCONFIRMED or STALE. */
 mv_link_report_status mv_peer_entry_receive(mv_peer_entry *peer, double now,
                                             const mv_link_report *report, double confirmed_at);
 
-/** The peer's newest report while it is recent enough to count, owned by the entry; NULL: none. */
+/** Returns the peer's newest accepted report, owned by the entry, or NULL if that report is missing
+ * or at least MV_LINK_REPORT_TTL_S old. */
 const mv_link_report *mv_peer_entry_recent_report(const mv_peer_entry *peer, double now);
 
-/** Seconds from `at` to `now`, at least 0; MV_NEVER if `at` is 0. */
+/** Returns the seconds from `at` to `now`, at least 0, or MV_NEVER if `at` is 0. */
 double mv_age_since(double at, double now);
 #endif
--- a/src/connectivity/report_log.c
+++ b/src/connectivity/report_log.c
@@ -1,5 +1,5 @@
 /**
- * The log of our own published reports.
+ * The log of the link reports that this process has published.
  */
 #include "connectivity/report_log.h"
 
--- a/src/connectivity/state_link.c
+++ b/src/connectivity/state_link.c
@@ -1,5 +1,5 @@
 /**
- * The link to the state service: observations of the session and of the watch.
+ * The link to the state service, judged by the answers to session renewals and to watches.
  */
 #include "connectivity/state_link.h"
 
