--- a/src/safety_checks.h
+++ b/src/safety_checks.h
@@ -1,65 +1,107 @@
 /**
- * Names of the safety checks: the conditions on which the rules of the protocol rest
+ * Names of the safety checks. A safety check is a condition on which the rules of the protocol rest
  * (docs/SAFETY.md).
  *
- * The tests switch one off in their build of the controller (mutation testing) and must see a rule
- * broken, which shows that the check is needed and that the tests would notice. In the service a
- * check is just its condition.
+ * The code uses a check as SAFETY_CHECK(NAME, condition). A mutation test builds the controller
+ * with MV_MUTATION_TESTING, disables one check and must then see a rule broken. This shows that the
+ * check is needed and that the tests would notice its absence. In the service no check can be
+ * disabled and SAFETY_CHECK is only the condition.
  */
 #ifndef MV_SAFETY_CHECKS_H
 #define MV_SAFETY_CHECKS_H
 
-/** The checks, by the fault that each prevents. */
+/** The checks. Each comment states the condition that holds while the check is on. */
 typedef enum {
+    /** No check; the value of mv_disabled_check while every check is on. */
     MV_CHECK_NONE,
-    MV_CHECK_REBUILD,     /**< no relaunch while a machine without a heartbeat may hold the task */
-    MV_CHECK_UNKNOWN_USE, /**< machines without a heartbeat count against their teams' quotas */
-    MV_CHECK_QUOTA,       /**< a team's limit */
-    MV_CHECK_RELEASED,    /**< tasks of a failed machine wait until it is gone for certain */
-    MV_CHECK_ZONE,        /**< one zone, or at most half of the tasks in one */
-    MV_CHECK_SPOT,        /**< spot machines only for jobs that allow them */
-    MV_CHECK_CANCELLED,   /**< tasks of cancelled jobs are stopped */
-    MV_CHECK_ALL_DONE,    /**< a job is done only with its last task */
-    MV_CHECK_HEARTBEAT_ORDER, /**< a heartbeat that is not newer is stale */
-    MV_CHECK_FENCING_TOKEN, /**< a heartbeat under an older token does not say what is on a machine
-                             */
-    MV_CHECK_COMMANDS_UNREACHABLE, /**< a machine that no command reaches is released */
-    MV_CHECK_ACTION_VALID, /**< no action that was decided under an expired lease is executed */
-    MV_CHECK_STARVATION,   /**< age overtakes size */
-    MV_CHECK_IN_FLIGHT,    /**< no clear of an attempt whose launch is still in flight */
-    MV_CHECK_LEASE,        /**< an owner that cannot renew its lease session stops responding */
-    MV_CHECK_COMPLETION_REVISION,    /**< a late write of a completion record does nothing */
-    MV_CHECK_CONTROLLER_UNREACHABLE, /**< no new work where heartbeats reach no controller */
-    MV_CHECK_FORMAT,                 /**< no service before every controller can read it */
-    MV_CHECK_VALUE_SIZE,             /**< values stay within the limit */
-    MV_CHECK_LATE_LAUNCH,            /**< no agent lease where a cancelled task may yet start */
-    MV_CHECK_STARVATION_TIMEOUT,     /**< reservations end for a job that has starved long */
-    MV_CHECK_FIRST_LIST, /**< the first partitions wait for the cloud's first machine list */
-    MV_CHECK_QUARANTINE_REBUILT, /**< no quarantined machine is released before its tasks are known
-                                  */
-    MV_CHECK_QUEUED,         /**< a transaction is not retried while it waits in our own queue */
-    MV_CHECK_COMMAND_WINDOW, /**< fewer commands are in flight while this controller is overloaded
-                              */
-    MV_CHECK_LISTENING,      /**< no heartbeat timeout for a time in which none could be received */
-    MV_CHECK_REPEATED_RECORD, /**< a record that is read twice changes nothing */
-    MV_CHECK_RELIST,        /**< no machine leaves its partition on the strength of a list alone */
-    MV_CHECK_OWN_ISOLATION, /**< what a machine missed while this controller was isolated is not
-                               held against it */
-    MV_CHECK_RECENT_HEARTBEAT, /**< no machine with a recent heartbeat is released as never booted
-                                */
-    MV_CHECK_LAUNCH_GATE,      /**< an isolated controller launches nothing */
-    MV_CHECK_HOLD_DOWN,        /**< launches resume only once the links are steady */
-    MV_CHECK_FINAL_RECORD,     /**< a job's final record is written once */
-    MV_CHECK_COMPLETIONS       /**< completions that cannot be recorded are published to peers */
+    /** The owner of a shard does not launch a task while a machine whose heartbeat is still missing
+     * may hold the task. */
+    MV_CHECK_REBUILD,
+    /** Until a heartbeat shows which tasks run on a machine, the whole machine counts against the
+     * limit of each team. */
+    MV_CHECK_UNKNOWN_USE,
+    /** A team does not exceed its limit. */
+    MV_CHECK_QUOTA,
+    /** The tasks of a failed machine are launched again only when the machine is certainly gone. */
+    MV_CHECK_RELEASED,
+    /** A job that asks for one zone gets one zone, and a job that asks to be spread gets at most
+     * half of its tasks in one zone. */
+    MV_CHECK_ZONE,
+    /** Only tasks of jobs that allow spot machines are placed on spot machines. */
+    MV_CHECK_SPOT,
+    /** The tasks of a cancelled job are stopped. */
+    MV_CHECK_CANCELLED,
+    /** A job is done only when its last task is done. */
+    MV_CHECK_ALL_DONE,
+    /** A heartbeat that is not newer than the last one of the machine is ignored as stale. */
+    MV_CHECK_HEARTBEAT_ORDER,
+    /** A heartbeat under an older fencing token does not show which tasks are on the machine. */
+    MV_CHECK_FENCING_TOKEN,
+    /** A machine that sends heartbeats but receives no commands is released. */
+    MV_CHECK_COMMANDS_UNREACHABLE,
+    /** A controller does not execute an action that was decided under a lease that has expired. */
+    MV_CHECK_ACTION_VALID,
+    /** A job that has waited long precedes smaller jobs, so that large jobs do not starve. */
+    MV_CHECK_STARVATION,
+    /** An attempt is not cleared while its launch is still in flight, because the agent would start
+     * a launch that arrives after the clear. */
+    MV_CHECK_IN_FLIGHT,
+    /** An owner that cannot renew its lease session acts as owner no longer and answers no
+     * heartbeats. */
+    MV_CHECK_LEASE,
+    /** A write of a completion record that arrives late does not overwrite a newer record. */
+    MV_CHECK_COMPLETION_REVISION,
+    /** A machine whose heartbeats reach no controller gets no new tasks. */
+    MV_CHECK_CONTROLLER_UNREACHABLE,
+    /** No service is accepted before every controller can read the record of a service. */
+    MV_CHECK_FORMAT,
+    /** A value in the state service does not exceed the size limit. */
+    MV_CHECK_VALUE_SIZE,
+    /** The lease of an agent is not renewed while a task of a cancelled job may still start on the
+     * machine. */
+    MV_CHECK_LATE_LAUNCH,
+    /** No resources stay reserved for other jobs once a job has starved for
+     * MV_STARVATION_TIMEOUT_S. */
+    MV_CHECK_STARVATION_TIMEOUT,
+    /** The leader makes the first partitions only after the cloud's first list of machines has
+     * arrived or timed out. */
+    MV_CHECK_FIRST_LIST,
+    /** A quarantined machine is not released before a heartbeat shows which tasks are on the
+     * machine. */
+    MV_CHECK_QUARANTINE_REBUILT,
+    /** A transaction is not retried while the first attempt still waits in this controller's own
+     * queue. */
+    MV_CHECK_QUEUED,
+    /** A controller reduces the number of commands in flight while the controller is overloaded. */
+    MV_CHECK_COMMAND_WINDOW,
+    /** A heartbeat timeout does not count time in which the controller could receive none. */
+    MV_CHECK_LISTENING,
+    /** A record that the state cache reads twice changes nothing the second time. */
+    MV_CHECK_REPEATED_RECORD,
+    /** A machine does not leave its partition on the evidence of a list of all records alone. */
+    MV_CHECK_RELIST,
+    /** A command that a machine missed while this controller was isolated does not count against
+     * the machine. */
+    MV_CHECK_OWN_ISOLATION,
+    /** A machine that sent a heartbeat recently is not released as never booted. */
+    MV_CHECK_RECENT_HEARTBEAT,
+    /** An isolated controller launches nothing. */
+    MV_CHECK_LAUNCH_GATE,
+    /** Launches resume only after the links have been stable for the hold-down time. */
+    MV_CHECK_HOLD_DOWN,
+    /** The final record of a job is written only once. */
+    MV_CHECK_FINAL_RECORD,
+    /** A controller that cannot record completions publishes them to its peers. */
+    MV_CHECK_COMPLETIONS
 } mv_safety_check;
 
 #ifdef MV_MUTATION_TESTING
-/** The check that is off; defined by each test program. */
+/** The check that is disabled; each test program defines this variable. */
 extern mv_safety_check mv_disabled_check;
-/** The condition, or true if the check is off. */
+/** Evaluates to the condition, or to true if the check is disabled. */
 #define SAFETY_CHECK(which, condition) (mv_disabled_check == MV_CHECK_##which || (condition))
 #else
-/** The condition. */
+/** Evaluates to the condition. */
 #define SAFETY_CHECK(which, condition) (condition)
 #endif
 #endif
