--- a/src/connectivity/completions.c
+++ b/src/connectivity/completions.c
@@ -1,5 +1,5 @@
 /**
- * Unrecorded completions: a compressed bitmap of tasks for each job, in the order of job ids.
+ * Unrecorded completions, stored as one compressed bitmap of tasks for each job, ordered by job id.
  */
 #include "connectivity/completions.h"
 
@@ -7,10 +7,11 @@
 #include <string.h>
 
 struct mv_unrecorded_completions {
-    GTree *jobs; /* id -> roaring_bitmap_t: ordered, so that packing can continue behind the last */
-    size_t bytes, max_bytes;
+    GTree *jobs;      /* job id -> roaring_bitmap_t, ordered so that packing can resume */
+    size_t bytes;     /* sum of bytes_of over all jobs */
+    size_t max_bytes; /* no task is added if another job would not fit */
     unsigned task_count;
-    char last_packed_job[MV_ID_SIZE]; /* where the last packing stopped; "": start at the first */
+    char last_packed_job[MV_ID_SIZE]; /* packing continues after this job; "": at the first job */
 };
 
 static gint compare_ids(gconstpointer left, gconstpointer right, gpointer data)
@@ -40,6 +41,7 @@
     g_free(completions);
 }
 
+/* Returns the bytes that a job counts for: its serialized bitmap and a fixed overhead. */
 static size_t bytes_of(const roaring_bitmap_t *bitmap)
 {
     return MV_COMPLETIONS_JOB_BYTES + roaring_bitmap_portable_size_in_bytes(bitmap);
@@ -109,7 +111,7 @@
     return bitmap ? tasks_of(bitmap) : NULL;
 }
 
-/* --- between controllers --- */
+/* --- exchange with other controllers --- */
 
 typedef struct {
     const mv_unrecorded_completions *completions;
@@ -131,7 +133,7 @@
     return completed;
 }
 
-/* A traversal function of GTree: TRUE ends the traversal. */
+/* Packs one job during a traversal of the tree. TRUE ends the traversal: the job does not fit. */
 static gboolean pack_job(gpointer job, gpointer bitmap, gpointer data)
 {
     completion_packing *packing = data;
--- a/src/connectivity/connectivity.h
+++ b/src/connectivity/connectivity.h
@@ -27,8 +27,7 @@
 
 /* --- observations --- */
 
-/** Records that a request sent at `sent_at` renewed the session at the state service, or opened it.
- */
+/** Records that a request sent at `sent_at` opened or renewed the session at the state service. */
 void mv_connectivity_session_renewed(mv_connectivity *connectivity, double now,
                                      uint64_t incarnation, double sent_at);
 
@@ -86,8 +85,7 @@
 /** Returns the launch gate, which the object owns. */
 const mv_launch_gate *mv_connectivity_launch_gate(const mv_connectivity *connectivity);
 
-/** Returns whether the session at the state service is confirmed and the state cache is caught up.
- */
+/** Returns whether the state service confirms the session and the state cache is caught up. */
 bool mv_connectivity_state_is_reachable(const mv_connectivity *connectivity, double now);
 
 /** Returns whether a recent report of the controller `node`, from its session `incarnation`, says
--- a/src/connectivity/link_classifier.c
+++ b/src/connectivity/link_classifier.c
@@ -49,10 +49,11 @@
 
 /* Decides why the state service does not answer. If one peer was answered clearly later than this
  * controller, this controller is isolated. Otherwise the state service has an outage if a majority
- * of all controllers, including this one, gets no answers and no peer with a recent report still
- * gets answers. The second condition is for two controllers that are cut off at the same time while
- * a third one still gets answers: without it, each of the two would take the other as a witness of
- * an outage before the state service could have answered the third one clearly later. */
+ * of all controllers, including this one, gets no answers and every peer with a recent report
+ * reports unanswered requests. The second condition is for two controllers that are cut off at the
+ * same time while a third one still gets answers: without it, each of the two would take the other
+ * as a witness of an outage before the state service could have answered the third one clearly
+ * later. */
 static mv_link_class classify_state_loss(const mv_link_observations *observations, double now)
 {
     unsigned unanswered = 1;
--- a/src/connectivity/link_report.c
+++ b/src/connectivity/link_report.c
@@ -1,5 +1,5 @@
 /**
- * Link reports: creation, validation, lookup.
+ * Functions that create, validate and search link reports.
  */
 #include "connectivity/link_report.h"
 
--- a/src/connectivity/peer_table.h
+++ b/src/connectivity/peer_table.h
@@ -38,8 +38,8 @@
 mv_peer_entry *mv_peer_table_find(const mv_peer_table *table, const char *name);
 
 /** Returns whether every peer is unreachable: at least MV_PEER_LINK_FAILURES requests in a row
- * without an answer, and no answer for MV_PEER_LINK_TIMEOUT_S. False if the settings name no peer.
- */
+ * without an answer, and no answer for MV_PEER_LINK_TIMEOUT_S. Returns false if there are no
+ * peers. */
 bool mv_peer_table_is_unreachable(const mv_peer_table *table, double now);
 
 /** Appends an mv_peer_link for each peer to `links`, with its ages as of `now`. */
--- a/src/connectivity/report_log.h
+++ b/src/connectivity/report_log.h
@@ -20,8 +20,7 @@
     double published_at[MV_LINK_REPORTS_REMEMBERED]; /**< ring, by sequence number */
 } mv_report_log;
 
-/** Records that process `boot` publishes a report at `now`; returns the report's sequence number.
- */
+/** Records that process `boot` publishes a report at `now`; returns the sequence number. */
 uint64_t mv_report_log_append(mv_report_log *log, double now, uint64_t boot);
 
 /** Returns when this process published the report whose receipt `link` confirms. Returns 0 if
