--- a/src/connectivity/completions.c
+++ b/src/connectivity/completions.c
@@ -159,8 +159,8 @@
                                   .sets = sets};
     g_tree_foreach(completions->jobs, pack_job, &packing);
     const mv_completion_set *last = sets->len ? g_ptr_array_index(sets, sets->len - 1) : NULL;
-    const char *continue_behind = packing.full && last ? last->job_id : "";
-    g_strlcpy(completions->last_packed_job, continue_behind, sizeof completions->last_packed_job);
+    const char *continue_after = packing.full && last ? last->job_id : "";
+    g_strlcpy(completions->last_packed_job, continue_after, sizeof completions->last_packed_job);
 }
 
 static roaring_bitmap_t *parse_bitmap(GBytes *serialized)
--- a/src/connectivity/connectivity.c
+++ b/src/connectivity/connectivity.c
@@ -68,8 +68,8 @@
         mv_peer_entry_probed(peer, sent_at, answered);
 }
 
-static const mv_peer_link *link_to_us(const mv_connectivity *connectivity,
-                                      const mv_link_report *report)
+static const mv_peer_link *link_to_this_controller(const mv_connectivity *connectivity,
+                                                   const mv_link_report *report)
 {
     return mv_link_report_find_peer(report, connectivity->observations.settings->node_name);
 }
@@ -82,8 +82,8 @@
     mv_peer_entry *peer = mv_peer_table_find(&connectivity->observations.peers, report->node);
     if (!peer)
         return MV_LINK_REPORT_UNKNOWN_NODE;
-    const double confirmed_at =
-        mv_report_log_confirmed_at(&connectivity->published, link_to_us(connectivity, report));
+    const double confirmed_at = mv_report_log_confirmed_at(
+        &connectivity->published, link_to_this_controller(connectivity, report));
     return mv_peer_entry_receive(peer, now, report, confirmed_at);
 }
 
@@ -165,8 +165,8 @@
     return mv_state_link_is_reachable(&connectivity->observations.state, now);
 }
 
-bool mv_connectivity_peer_stepped_aside(const mv_connectivity *connectivity, double now,
-                                        const char *node, uint64_t incarnation)
+bool mv_connectivity_peer_is_isolated(const mv_connectivity *connectivity, double now,
+                                      const char *node, uint64_t incarnation)
 {
     const mv_peer_entry *peer = mv_peer_table_find(&connectivity->observations.peers, node);
     const mv_link_report *report = peer ? mv_peer_entry_recent_report(peer, now) : NULL;
@@ -199,15 +199,15 @@
     mv_peer_link_status seen = {.name = peer->name, .report_age_s = MV_NEVER};
     if (!report)
         return seen;
-    const mv_peer_link *link = link_to_us(connectivity, report);
+    const mv_peer_link *link = link_to_this_controller(connectivity, report);
     seen.known = true;
     seen.link_class = report->link_class;
     seen.report_age_s = now - peer->report_as_of;
     seen.class_age_s = report->class_age_s;
     seen.launches_held = report->launches_held;
     seen.completions_unrecorded = report->completions_unrecorded;
-    seen.receives_us = link &&
-                       mv_link_age_is_below(link->last_message_age_s, MV_PEER_LINK_TIMEOUT_S) &&
-                       seen.report_age_s < MV_PEER_LINK_TIMEOUT_S;
+    seen.receives_reports =
+        link && mv_link_age_is_below(link->last_message_age_s, MV_PEER_LINK_TIMEOUT_S) &&
+        seen.report_age_s < MV_PEER_LINK_TIMEOUT_S;
     return seen;
 }
--- a/src/connectivity/connectivity.h
+++ b/src/connectivity/connectivity.h
@@ -91,8 +91,8 @@
 /** Returns whether a recent report of the controller `node`, from its session `incarnation`, says
  * that the controller has been isolated for at least MV_STEP_ASIDE_AFTER_S. The leader may then
  * grant that controller's shards to other controllers. */
-bool mv_connectivity_peer_stepped_aside(const mv_connectivity *connectivity, double now,
-                                        const char *node, uint64_t incarnation);
+bool mv_connectivity_peer_is_isolated(const mv_connectivity *connectivity, double now,
+                                      const char *node, uint64_t incarnation);
 
 /** Returns a text for operators that says why launches are held; "" if all launches are allowed.
  * The text is static. */
@@ -106,7 +106,7 @@
     double report_age_s;      /**< upper bound of the age of the report */
     double class_age_s;       /**< how long the class had lasted when the peer made the report */
     bool launches_held;       /**< the peer launches nothing */
-    bool receives_us;         /**< the peer recently received a report of this controller */
+    bool receives_reports;    /**< the peer recently received a report of this controller */
     unsigned completions_unrecorded; /**< completions that the peer has not recorded yet */
 } mv_peer_link_status;
 
--- a/src/connectivity/link_classifier.c
+++ b/src/connectivity/link_classifier.c
@@ -17,11 +17,11 @@
     const mv_state_link *state = &observations->state;
     const bool session_lost = !mv_state_link_session_is_valid(state, now);
     const double peer_age_s = session_lost ? report->state_age_s : report->cache_age_s;
-    const double our_last_answer =
+    const double own_last_answer =
         session_lost ? state->session_confirmed_at : state->cache_caught_up_at;
     if (peer_age_s == MV_NEVER)
         return false;
-    return peer->report_as_of - peer_age_s > our_last_answer + MV_WITNESS_GAP_S;
+    return peer->report_as_of - peer_age_s > own_last_answer + MV_WITNESS_GAP_S;
 }
 
 /* Returns whether the peer reports requests that the state service did not answer. If the peer
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -247,8 +247,8 @@
 {
     const mv_connectivity *connectivity = membership->launch_control->connectivity;
     return connectivity && shard->revision &&
-           mv_connectivity_peer_stepped_aside(connectivity, membership->context->clock.now,
-                                              shard->holder.node, shard->holder.incarnation);
+           mv_connectivity_peer_is_isolated(connectivity, membership->context->clock.now,
+                                            shard->holder.node, shard->holder.incarnation);
 }
 
 /* Grants of one transaction. */
--- a/tests/test_connectivity.c
+++ b/tests/test_connectivity.c
@@ -161,10 +161,10 @@
     fixture.state_answers[1] = false;
     advance(&fixture, 4);
     const mv_connectivity *observer = fixture.controllers[0];
-    g_assert_true(mv_connectivity_peer_stepped_aside(observer, fixture.now, "n1", 101));
+    g_assert_true(mv_connectivity_peer_is_isolated(observer, fixture.now, "n1", 101));
     /* Its former process and other controllers did not. */
-    g_assert_false(mv_connectivity_peer_stepped_aside(observer, fixture.now, "n1", 100));
-    g_assert_false(mv_connectivity_peer_stepped_aside(observer, fixture.now, "n2", 102));
+    g_assert_false(mv_connectivity_peer_is_isolated(observer, fixture.now, "n1", 100));
+    g_assert_false(mv_connectivity_peer_is_isolated(observer, fixture.now, "n2", 102));
     fixture_clear(&fixture);
 }
 
@@ -439,7 +439,7 @@
     receive(&fixture, 0, delayed);
     const mv_peer_link_status peer = mv_connectivity_peer(fixture.controllers[0], fixture.now, 0);
     g_assert_cmpfloat(peer.report_age_s, >, 60);
-    g_assert_false(peer.receives_us);
+    g_assert_false(peer.receives_reports);
     fixture_clear(&fixture);
 }
 
