--- a/src/connectivity/connectivity.h
+++ b/src/connectivity/connectivity.h
@@ -3,10 +3,10 @@
  * to its machines, and decides which tasks the controller may launch. The classification uses
  * traffic that exists anyway and the link reports of the peers.
  *
- * The module is pure: it performs no I/O and reads no clock; every call passes the time, in seconds
- * of a monotonic clock, and what happened. The age of a peer's report counts from the time at which
- * this controller published the report that the peer confirms. Therefore a report that the network
- * delayed is never taken for a recent one.
+ * The module is pure: the module performs no I/O and reads no clock; every call passes the time, in
+ * seconds of a monotonic clock, and what happened. The age of a peer's report counts from the time
+ * at which this controller published the report that the peer confirms. Therefore a report that the
+ * network delayed is never taken for a recent one.
  *
  * The object is not thread-safe: the controller that owns the object calls it under the
  * controller's lock. The settings must outlive the object; each update reads the operator settings
@@ -51,7 +51,7 @@
                                  bool answered);
 
 /** Processes a link report that arrived from a peer, and returns whether the report was accepted or
- * why it was rejected. The caller keeps ownership of the report. */
+ * why the report was rejected. The caller keeps ownership of the report. */
 mv_link_report_status mv_connectivity_receive(mv_connectivity *connectivity, double now,
                                               const mv_link_report *report);
 
--- a/src/connectivity/launch_gate.c
+++ b/src/connectivity/launch_gate.c
@@ -30,7 +30,7 @@
 
 /* Closes the gate. The failure counts as a new break only if the gate was open, or if the gate was
  * closed and the link was working (`stable_since` is set). Otherwise the link is still broken and
- * its break has been counted already. */
+ * the break has been counted already. */
 static void close_gate(mv_launch_gate *gate, double now, bool overloaded)
 {
     const bool was_waiting = gate->stable_since > 0;
@@ -42,9 +42,9 @@
 }
 
 /* During the grace period (MV_SUSPECT_GRACE_S) an open gate stays open: a slow state service is
- * suspected every few seconds, and the peers, which see the same failure, report it at once, so
- * that this controller can classify the failure within the grace period. The hold-down time of a
- * closed gate starts anew. */
+ * suspected every few seconds, and the peers, which see the same failure, report the failure at
+ * once, so that this controller can classify the failure within the grace period. For a closed gate
+ * the hold-down time starts again when the link works again. */
 static void close_after_grace(mv_launch_gate *gate, double now, const mv_gate_input *input)
 {
     gate->stable_since = 0;
@@ -53,7 +53,7 @@
 }
 
 /* In an outage the state service answers no controller, so this controller's own link did not
- * break. A closed gate shows that the failure was counted as a break; that break is subtracted. */
+ * break. A failure that closed the gate was counted as a break, so one break is subtracted. */
 static void open_for_outage(mv_launch_gate *gate, const mv_gate_input *input)
 {
     static const mv_launch_scope SCOPES[] = {[MV_LAUNCH_WHILE_LEASED] = MV_LAUNCH_SCOPE_ALL,
@@ -107,7 +107,7 @@
     case MV_LINKS_NO_WORKERS:
         open_when_stable(gate, now, input);
         break;
-    default: /* this controller has never reached the state service, so it owns no shard */
+    default: /* a controller that has never reached the state service owns no shard */
         gate->scope = MV_LAUNCH_SCOPE_NONE;
         break;
     }
--- a/src/connectivity/launch_gate.h
+++ b/src/connectivity/launch_gate.h
@@ -1,9 +1,9 @@
 /**
  * The launch gate decides which tasks a controller may launch, given the class of its links. The
- * gate fails safe: it closes at once when the controller is isolated from the state service, and
- * after a short grace period while the cause of the failure is unknown. The gate opens again only
- * after the link to the state service has been stable for a hold-down time, which doubles with each
- * break.
+ * gate fails safe: the gate closes at once when the controller is isolated from the state service,
+ * and after a short grace period while the cause of the failure is unknown. The gate opens again
+ * only after the link to the state service has been stable for a hold-down time, which doubles with
+ * each break.
  *
  * The module is pure: the caller passes the time, in seconds of a monotonic clock. The module is
  * not thread-safe; the owner of the gate serializes the calls.
@@ -20,7 +20,7 @@
     MV_LAUNCH_SCOPE_ALL
 } mv_launch_scope;
 
-/** The state of the gate. A zero-initialized gate is open, but its scope is NONE until the first
+/** The state of the gate. A zero-initialized gate is open, but the scope is NONE until the first
  * update, so nothing may be launched. */
 typedef struct {
     bool closed;
--- a/src/connectivity/link_classifier.c
+++ b/src/connectivity/link_classifier.c
@@ -5,9 +5,9 @@
  */
 #include "connectivity/link_classifier.h"
 
-/* Returns whether the state service answered the peer more than MV_WITNESS_GAP_S after its last
- * answer to this controller. In an outage, the last answers to two controllers are no further apart
- * than two renewals, so a larger gap shows that this controller is isolated. */
+/* Returns whether the state service answered the peer more than MV_WITNESS_GAP_S later than the
+ * state service last answered this controller. In an outage, the last answers to two controllers
+ * are at most two renewals apart, so a larger gap shows that this controller is isolated. */
 static bool was_answered_later(const mv_link_observations *observations, const mv_peer_entry *peer,
                                double now)
 {
@@ -25,10 +25,10 @@
 }
 
 /* Returns whether the peer reports requests that the state service did not answer. If the peer
- * has just started, or if its process was paused, then the last answer is missing or old for a
- * reason other than the state service. Therefore a missing or old answer counts only if renewals
- * have failed too. If renewals are answered, an old watch answer alone counts, because it shows
- * that watches are not answered. */
+ * has just started, or if the peer's process was paused, then the last answer is missing or old for
+ * a reason other than the state service. Therefore a missing or old answer counts only if renewals
+ * have failed too. If renewals are answered, an old watch answer alone counts, because then the
+ * watches are not answered. */
 static bool reports_unanswered_requests(const mv_link_report *report)
 {
     if (report->state_age_s == MV_NEVER)
@@ -38,7 +38,7 @@
     return report->failures > 0;
 }
 
-/* Returns the class that the operators' setting prescribes. It is used when the peers' reports did
+/* Returns the class that the operators' setting prescribes for the case that the peers' reports did
  * not decide between outage and isolation within MV_WITNESS_REPORT_TIMEOUT_S. */
 static mv_link_class class_without_witness(const mv_settings *settings)
 {
--- a/src/connectivity/link_report.h
+++ b/src/connectivity/link_report.h
@@ -1,9 +1,9 @@
 /**
- * Link reports. In a link report a controller tells another controller about its own links and
- * about completions of tasks that it cannot record.
+ * Link reports. In a link report the sender tells another controller about the sender's own links
+ * and about completions of tasks that the sender cannot record.
  *
- * A report is plain data without locks. The code that creates or receives a report owns it. Every
- * function here may be called from any thread if only one thread at a time uses a report.
+ * A report is plain data without locks. The code that creates or receives a report owns the report.
+ * Every function here may be called from any thread if only one thread at a time uses a report.
  */
 #ifndef MV_LINK_REPORT_H
 #define MV_LINK_REPORT_H
@@ -59,7 +59,7 @@
 typedef struct {
     char node[MV_NAME_SIZE];
     uint64_t boot;        /**< identifies the sender's process; a new number at each start */
-    uint64_t incarnation; /**< of the sender's session, as in its leases; 0: none yet */
+    uint64_t incarnation; /**< of the sender's session, as in the leases; 0: none yet */
     uint64_t sequence;    /**< rises with each report of the process */
     mv_link_class link_class;
     double class_age_s;   /**< since the links got this class */
--- a/src/connectivity/peer_table.c
+++ b/src/connectivity/peer_table.c
@@ -85,7 +85,7 @@
     return confirmed_at > peer->report_as_of;
 }
 
-/* Records the report as received, unless an equally new or newer one of the same process was
+/* Records the report as received, unless this report or a newer report of the same process was
  * received before. The next report of this controller confirms the receipt to the peer. */
 static void confirm_receipt(mv_peer_entry *peer, double now, const mv_link_report *report)
 {
--- a/src/safety_checks.h
+++ b/src/safety_checks.h
@@ -33,7 +33,7 @@
     MV_CHECK_CANCELLED,
     /** A job is done only when its last task is done. */
     MV_CHECK_ALL_DONE,
-    /** A heartbeat that is not newer than the last one of the machine is ignored as stale. */
+    /** A heartbeat that is not newer than the machine's last heartbeat is ignored as stale. */
     MV_CHECK_HEARTBEAT_ORDER,
     /** A heartbeat under an older fencing token does not show which tasks are on the machine. */
     MV_CHECK_FENCING_TOKEN,
@@ -43,11 +43,11 @@
     MV_CHECK_ACTION_VALID,
     /** A job that has waited long precedes smaller jobs, so that large jobs do not starve. */
     MV_CHECK_STARVATION,
-    /** An attempt is not cleared while its launch is still in flight, because the agent would start
-     * a launch that arrives after the clear. */
+    /** An attempt is not cleared while the launch of the attempt is still in flight, because the
+     * agent would start a launch that arrives after the clear. */
     MV_CHECK_IN_FLIGHT,
-    /** An owner that cannot renew its lease session acts as owner no longer and answers no
-     * heartbeats. */
+    /** An owner that cannot renew the lease session no longer acts as the owner of any shard and
+     * answers no heartbeats. */
     MV_CHECK_LEASE,
     /** A write of a completion record that arrives late does not overwrite a newer record. */
     MV_CHECK_COMPLETION_REVISION,
@@ -91,7 +91,7 @@
     MV_CHECK_HOLD_DOWN,
     /** The final record of a job is written only once. */
     MV_CHECK_FINAL_RECORD,
-    /** A controller that cannot record completions publishes them to its peers. */
+    /** A controller publishes to the peers the completions that the controller cannot record. */
     MV_CHECK_COMPLETIONS
 } mv_safety_check;
 
