--- a/src/safety_checks.h
+++ b/src/safety_checks.h
@@ -14,8 +14,8 @@
 typedef enum {
     /** No check; the value of mv_disabled_check while every check is on. */
     MV_CHECK_NONE,
-    /** The owner of a shard does not launch a task while a machine whose heartbeat is still missing
-     * may hold the task. */
+    /** The owner of a shard does not launch a task again while a machine whose heartbeat is still
+     * missing may hold the task. */
     MV_CHECK_REBUILD,
     /** Until a heartbeat shows which tasks run on a machine, the whole machine counts against the
      * limit of each team. */
