--- a/src/storage/request_pool.c
+++ b/src/storage/request_pool.c
@@ -1,11 +1,12 @@
-/** A pool of threads that send HTTP requests for others. */
+/** Pool of threads that send HTTP requests on behalf of short-lived threads. */
 #include "storage/request_pool.h"
 
 #include "transport/threads.h"
 
 #include <pthread.h>
 
-/* A request in the queue. It lies on the stack of its caller, who waits until it is done. */
+/* A request in the queue. The request is on the stack of the calling thread, which blocks until a
+ * thread of the pool has set `done`. */
 typedef struct {
     const mv_http_request *request;
     mv_http_result *result;
@@ -19,11 +20,12 @@
     unsigned thread_count;
     pthread_mutex_t lock; /* guards the fields below */
     pthread_cond_t request_available;
-    GQueue requests; /* of pending_request, owned by their callers */
+    GQueue requests; /* of pending_request, owned by the calling threads */
     bool stopping;
 };
 
-/* The next request, or NULL when the pool stops and the queue is empty. Called with the lock. */
+/* Waits for a request and removes it from the queue; returns NULL when the pool is stopping and the
+ * queue is empty. The caller holds the lock. */
 static pending_request *next_request(mv_request_pool *pool)
 {
     while (!pool->stopping && g_queue_is_empty(&pool->requests))
--- a/src/storage/request_pool.h
+++ b/src/storage/request_pool.h
@@ -1,20 +1,22 @@
 /**
- * A pool of threads that send HTTP requests for others.
+ * Pool of threads that send HTTP requests on behalf of short-lived threads.
  *
- * The connections of users come and go, and each is served by a thread of its own. An HTTP client
- * and a connection to the state service for each of those threads cost more than everything else
- * that a poll does. A few threads that stay keep their client and their connection open instead.
+ * Each connection of a user is served by a thread of its own, which ends with the connection. If
+ * every one of these threads set up an HTTP client and a connection to the state service, the setup
+ * would cost more than all other work of a poll. The threads of the pool live as long as the pool,
+ * and each keeps its HTTP client and its connection open.
  *
- * Threads: mv_request_pool_call may be called from any thread. The pool owns its lock.
+ * Threads: mv_request_pool_call and mv_request_pool_call_directly may be called from any thread.
+ * The pool has a lock of its own.
  */
 #ifndef MV_REQUEST_POOL_H
 #define MV_REQUEST_POOL_H
 #include "transport/http_client.h"
 
-/** The pool; opaque. */
+/** A request pool; opaque. */
 typedef struct mv_request_pool mv_request_pool;
 
-/** One HTTP request. Everything in it is borrowed for the time of the call. */
+/** One HTTP request. The caller owns all its fields, which must stay valid during the call. */
 typedef struct {
     const char *method, *path;
     GBytes *body; /* may be NULL */
@@ -22,22 +24,30 @@
 } mv_http_request;
 
 /**
- * A pool for requests to `address` ("10.0.0.1:8080", copied) with up to `threads` threads. Threads
- * that the system refuses are done without. Free with mv_request_pool_free.
+ * Returns a pool that sends requests to `address` ("10.0.0.1:8080", copied) from up to `threads`
+ * threads. If the system refuses to start a thread, the pool works with the threads started before.
+ * The caller frees the pool with mv_request_pool_free.
  */
 mv_request_pool *mv_request_pool_new(const char *address, unsigned threads);
 
-/** Ends the threads once the requests in the queue have been sent. No call may be under way. */
+/**
+ * Ends the threads after they have sent the requests in the queue, and frees the pool. NULL is
+ * allowed. No other thread may be inside a function of the pool.
+ */
 void mv_request_pool_free(mv_request_pool *pool);
 
 /**
- * Sends the request through one of the threads and waits for the response; with a pool that has no
- * thread the caller's own thread sends it. The caller clears `result` with mv_http_result_clear.
+ * Sends the request from a thread of the pool and waits for the response. If the pool has no
+ * thread, the calling thread sends the request. The caller clears `result` with
+ * mv_http_result_clear.
  */
 void mv_request_pool_call(mv_request_pool *pool, const mv_http_request *request,
                           mv_http_result *result);
 
-/** The same, always on the caller's own thread and its own connection. */
+/**
+ * Sends the request from the calling thread, over that thread's own connection, and waits for the
+ * response. The caller clears `result` with mv_http_result_clear.
+ */
 void mv_request_pool_call_directly(const mv_request_pool *pool, const mv_http_request *request,
                                    mv_http_result *result);
 #endif
--- a/src/storage/state_client.c
+++ b/src/storage/state_client.c
@@ -1,4 +1,4 @@
-/** Client of the state service: its state, and the one way to send a request. */
+/** Client of the state service: creates the client object and sends requests with retries. */
 #include "storage/state_client.h"
 
 #include "telemetry/log.h"
@@ -48,7 +48,8 @@
     return mv_document_parse(bytes, size);
 }
 
-/* Of all reasons for a status 400 this is the one that lies in the session, not in the request. */
+/* Whether a response with status 400 says that the lease session has expired. All other reasons for
+ * a status 400 are faults of the request itself. */
 static bool lease_has_expired(const mv_http_result *response)
 {
     g_autoptr(mv_document) document = parse_body(response);
@@ -80,8 +81,9 @@
     }
 }
 
-/* What one response means; with MV_STATE_STORE_OK its body goes to `document`, which may be NULL.
- */
+/* Converts a response to a result. With MV_STATE_STORE_OK `*document` becomes the parsed body; if
+ * `document` is NULL, the body is ignored. A transaction that is refused with status 400 is too
+ * large, unless its lease session has expired. */
 static mv_state_store_result read_response(const mv_http_request *request,
                                            const mv_http_result *response, mv_document **document)
 {
@@ -113,7 +115,8 @@
         mv_http_result_clear(&response);
         if (!over_rate_limit)
             break;
-        /* Above its limit the service asks for a pause, which is short. */
+        /* The state service refuses requests above its rate limit and asks for a pause. The pause
+         * is short, so this thread waits here and sends the request again. */
         if (is_transaction(request))
             mv_write_budget_throttle(store->write_budget);
         g_usleep(MV_STATE_STORE_BACKOFF_MS * 1000 * (attempt + 1));
--- a/src/storage/state_client.h
+++ b/src/storage/state_client.h
@@ -1,8 +1,9 @@
 /**
- * Private to src/storage: the client's state, and the one way to send a request.
+ * Private to src/storage: the client object, and the function through which all files of this
+ * folder send requests to the state service.
  *
- * state_client.c has the client and its requests, state_transaction.c compare-and-swap,
- * state_session.c the lease session, state_records.c get, list and watch.
+ * state_client.c implements both, state_transaction.c compare-and-swap, state_session.c the lease
+ * session, and state_records.c get, list and watch.
  */
 #ifndef MV_STATE_CLIENT_H
 #define MV_STATE_CLIENT_H
@@ -14,29 +15,30 @@
 
 #include <pthread.h>
 
-/** The client of the state store, shared by all threads. */
+/** Client of the state service, shared by all threads. */
 struct mv_state_store {
     mv_request_pool *requests;
     mv_write_budget *write_budget;
     pthread_mutex_t lock; /* guards lease_id */
-    uint64_t lease_id;    /* of the lease session opened last; 0: none yet */
+    uint64_t lease_id;    /* of the newest lease session; 0: no session was opened yet */
 };
 
-/** Which thread, and so which connection, sends a request. */
+/** Which thread sends a request, and therefore over which connection the request goes. */
 typedef enum {
-    MV_SEND_FROM_POOL,  /* a thread of the pool: for callers whose threads come and go */
-    MV_SEND_FROM_CALLER /* the caller's own: for the threads of the session and of the watch */
+    MV_SEND_FROM_POOL,  /* a thread of the pool: for calls from short-lived threads */
+    MV_SEND_FROM_CALLER /* the calling thread: for the long-lived threads of session and watch */
 } mv_request_sender;
 
 /**
- * Sends a request, and again after a pause while the service refuses it over the rate limit. With
- * MV_STATE_STORE_OK `*document` is the response, which the caller frees, else NULL; `document` may
- * be NULL when nobody reads it.
+ * Sends a request and returns its result. If the state service refuses the request over the rate
+ * limit, retries after a pause, up to MV_STATE_STORE_ATTEMPTS attempts in all. With
+ * MV_STATE_STORE_OK `*document` is the body of the response, which the caller frees; otherwise
+ * `*document` is NULL. `document` may be NULL if the caller does not need the body.
  */
 mv_state_store_result mv_state_store_request(mv_state_store *store, mv_request_sender sender,
                                              const mv_http_request *request,
                                              mv_document **document);
 
-/** The id of the lease session opened last. */
+/** Returns the id of the newest lease session; 0 if no session was opened yet. */
 uint64_t mv_state_store_lease_id(mv_state_store *store);
 #endif
--- a/src/storage/state_records.c
+++ b/src/storage/state_records.c
@@ -1,12 +1,12 @@
-/** Reading records of the state service: one by its key, all of them in pages, and changes. */
+/** Reads records of the state service: one record, all live records in pages, and changes. */
 #include "storage/state_client.h"
 
 #include "protocol/names.h"
 
-/* The start of every request for the records that this service lists and watches. */
+/* Query of list and watch requests: selects the records under KEY_LIVE_PREFIX. */
 #define LIVE_RECORDS_QUERY "?" WIRE_PREFIX "=" KEY_LIVE_PREFIX
 
-/* A value inside a response as packed bytes of its own, which the caller unrefs. */
+/* Copies a value of a response into packed bytes, which the caller unrefs. */
 static GBytes *repack(const msgpack_object *value)
 {
     mv_writer *writer = mv_writer_new();
@@ -42,11 +42,11 @@
 
 /* --- list --- */
 
-/* What a page says besides its items. */
+/* Progress of a list: what the newest page says besides its records. */
 typedef struct {
     uint64_t store_revision;
     bool more;
-    char last_key[MV_KEY_SIZE]; /* the next page starts after it; empty: this was none yet */
+    char last_key[MV_KEY_SIZE]; /* the next page starts after this key; empty: first page */
 } page_position;
 
 static void page_path(char *path, size_t size, const char *last_key)
@@ -60,7 +60,8 @@
                    MV_STATE_STORE_PAGE);
 }
 
-/* Passes one item on, and notes its key; an item without its fields is skipped. */
+/* Passes the record in `item` to `on_record` and stores its key in `key`. An item without key,
+ * value or revision is skipped. */
 static void read_listed_record(const msgpack_object *item, char key[MV_KEY_SIZE],
                                mv_state_store_record_fn on_record, void *context)
 {
@@ -104,7 +105,8 @@
         const mv_state_store_result result = read_page(store, &position, on_record, context);
         if (result != MV_STATE_STORE_OK)
             return result;
-        /* Changes made while later pages are read are found by a watch from the first one. */
+        /* Records can change while later pages are read. A watch that starts at the revision of the
+         * first page reports all these changes. */
         if (is_first_page)
             *store_revision = position.store_revision;
         is_first_page = false;
--- a/src/storage/state_session.c
+++ b/src/storage/state_session.c
@@ -1,4 +1,7 @@
-/** The lease session: one lease of the state service for all records that end with this process. */
+/**
+ * The lease session: the state service deletes all records attached to this lease when the lease
+ * expires because this process has stopped renewing it.
+ */
 #include "storage/state_client.h"
 
 #include "protocol/names.h"
--- a/src/storage/state_transaction.c
+++ b/src/storage/state_transaction.c
@@ -1,4 +1,4 @@
-/** Compare-and-swap on the state service: packing of a transaction, and its commit. */
+/** Compare-and-swap on the state service: packs a transaction and commits it. */
 #include "storage/state_client.h"
 
 #include "protocol/names.h"
--- a/src/storage/write_budget.c
+++ b/src/storage/write_budget.c
@@ -1,4 +1,7 @@
-/** The budget for writes to the state service: a token bucket with a second one inside it. */
+/**
+ * Write budget of the state service: a token bucket for all writes of this controller, and a second
+ * bucket for deferrable writes, which take tokens from both.
+ */
 #include "storage/write_budget.h"
 
 #include "constants.h"
@@ -6,17 +9,19 @@
 #include <glib.h>
 #include <pthread.h>
 
-/* Limits of one sleep before the budget is looked at again. */
+/* A waiting writer checks the budget again after this time at the latest, because a refusal or a
+ * change of the number of writers can alter the refill rate meanwhile. */
 #define WAIT_MAX_S 1
+/* Added to each sleep, so that the tokens are in the bucket when the writer wakes up. */
 #define WAIT_EXTRA_US 1000
 
 struct mv_write_budget {
-    double limit;          /* writes per second that the service allows all controllers together */
+    double limit; /* writes per second that the state service allows all controllers together */
     pthread_mutex_t lock;  /* guards the fields below */
-    double rate_share;     /* our share of the limit, lowered by refusals; 1 at most */
-    unsigned writer_count; /* controllers that make deferrable writes, this one included */
-    double available;      /* writes that may be made now */
-    double deferrable_available; /* and how many of them may be deferrable ones */
+    double rate_share;     /* controller's fraction of `limit`, 1 at most; reduced by refusals */
+    unsigned writer_count; /* controllers that make deferrable writes, including this one */
+    double available; /* tokens: writes that may be sent now; below 0 after an oversized write */
+    double deferrable_available; /* tokens of the second bucket, for deferrable writes */
     gint64 refilled_at_us;
 };
 
@@ -55,13 +60,14 @@
     pthread_mutex_unlock(&budget->lock);
 }
 
-/* Writes per second at which the bucket fills. Called with the lock. */
+/* Returns the refill rate of the main bucket in writes per second. The caller holds the lock. */
 static double refill_rate(const mv_write_budget *budget)
 {
     return budget->limit * budget->rate_share;
 }
 
-/* The time that passed since the last call fills both buckets. Called with the lock. */
+/* Adds tokens to both buckets, and raises `rate_share`, for the time since the last refill. The
+ * caller holds the lock. */
 static void refill(mv_write_budget *budget)
 {
     const gint64 now_us = g_get_monotonic_time();
@@ -76,8 +82,9 @@
     budget->refilled_at_us = now_us;
 }
 
-/* Seconds until `count` writes fit the bucket, of which deferrable ones leave half to the urgent.
- * Called with the lock. */
+/* Returns the seconds until the main bucket has tokens for `count` writes. Deferrable writes have
+ * to leave half of the bucket for urgent writes, unless the bucket is full. The caller holds the
+ * lock. */
 static double wait_for_writes(const mv_write_budget *budget, unsigned count, bool urgent)
 {
     const double rate = refill_rate(budget);
@@ -86,14 +93,17 @@
     return MAX(missing, 0) / rate;
 }
 
-/* Seconds until `count` writes fit the share of deferrable ones. Called with the lock. */
+/* Returns the seconds until the second bucket has tokens for `count` deferrable writes; 0 or
+ * less if the bucket has the tokens now. The caller holds the lock. */
 static double wait_for_deferrable_writes(const mv_write_budget *budget, unsigned count)
 {
     const double missing = MIN(count, (double)MV_FLUSH_BATCH) - budget->deferrable_available;
     return missing * budget->writer_count / (budget->limit * MV_DEFERRABLE_WRITE_SHARE);
 }
 
-/* Seconds to wait before the next attempt; 0: the writes have been taken. Called with the lock. */
+/* Takes the tokens for `count` writes and returns 0. If tokens are missing, takes none and returns
+ * the seconds to wait before the next attempt. The second bucket limits deferrable writes only if
+ * several controllers make them. The caller holds the lock. */
 static double try_take(mv_write_budget *budget, unsigned count, bool urgent)
 {
     refill(budget);
--- a/src/storage/write_budget.h
+++ b/src/storage/write_budget.h
@@ -1,34 +1,47 @@
 /**
- * The budget for writes to the state service: a token bucket.
+ * Write budget of the state service: a token bucket that limits this controller's write rate.
  *
- * The service limits the writes of all controllers together. Each controller takes its writes from
- * a bucket that fills at its share of that limit. Deferrable writes (completion records) are also
- * taken from a second, smaller bucket, which is divided among the controllers that write them, so
- * that submissions, ends of jobs and grants are not refused for their sake.
+ * The state service limits the writes of all controllers together. Each controller takes a token
+ * for each write from a bucket that is refilled at the controller's share of that limit. A
+ * deferrable write (such as a completion record) also takes a token from a second, smaller bucket,
+ * whose rate is divided among the controllers that make deferrable writes. Deferrable writes
+ * therefore do not use up the limit, and the state service does not refuse submissions, ends of
+ * jobs and shard grants because of them.
  *
- * Threads: every function may be called from any thread; the budget owns its lock.
+ * Threads: every function may be called from any thread; the budget has a lock of its own.
  */
 #ifndef MV_WRITE_BUDGET_H
 #define MV_WRITE_BUDGET_H
 #include <stdbool.h>
 
-/** The budget; opaque. */
+/** A write budget; opaque. */
 typedef struct mv_write_budget mv_write_budget;
 
-/** A full budget under a limit of `writes_per_s` for all controllers together. */
+/**
+ * Returns a budget with a full main bucket. `writes_per_s` is the state service's limit for all
+ * controllers together. The caller frees the budget with mv_write_budget_free.
+ */
 mv_write_budget *mv_write_budget_new(double writes_per_s);
-/** Frees the budget; NULL is allowed, and nobody may wait in it. */
+/** Frees the budget. NULL is allowed. No thread may be inside mv_write_budget_take. */
 void mv_write_budget_free(mv_write_budget *budget);
 
-/** How many controllers, this one included, share the budget for deferrable writes. */
+/**
+ * Sets the number of controllers, including this one, that share the rate of deferrable writes. 0
+ * counts as 1.
+ */
 void mv_write_budget_set_writers(mv_write_budget *budget, unsigned writers);
 
-/** Takes `count` writes out of the budget; blocks until they fit. Urgent writes wait less. */
+/**
+ * Takes the tokens for `count` writes; blocks until the budget has them. Deferrable writes
+ * (`urgent` is false) can wait longer, because half of the main bucket is reserved for urgent
+ * writes and because the second bucket limits deferrable writes if several controllers make them.
+ */
 void mv_write_budget_take(mv_write_budget *budget, unsigned count, bool urgent);
 
 /**
- * To be called when the service refused a write over its limit: other controllers use the limit
- * too, so for a while this one takes a smaller share of it.
+ * Empties the main bucket and reduces this controller's share of the limit. Callers use this after
+ * the state service refused a write over the rate limit: other controllers use the same limit, so
+ * this controller writes less until its share has grown back over time.
  */
 void mv_write_budget_throttle(mv_write_budget *budget);
 #endif
