--- a/src/protocol/agent_messages.c
+++ b/src/protocol/agent_messages.c
@@ -1,4 +1,4 @@
-/** Messages between a controller and the agents of machines: heartbeats and commands. */
+/** Parses heartbeats of agents and packs commands to agents. */
 #include "protocol/agent_messages.h"
 
 #include "protocol/job_spec.h"
@@ -6,10 +6,10 @@
 
 #include <string.h>
 
-/* A job id, a slash and the index of a task: "j-000412/3". */
+/* A task name consists of the job id, a slash and the index of the task: "j-000412/3". */
 #define TASK_NAME_SIZE (MV_ID_SIZE + 12)
 
-/* In the order of mv_task_phase, mv_exit_reason and mv_command_kind. */
+/* Names on the wire, in the order of mv_task_phase, mv_exit_reason and mv_command_kind. */
 static const char *const PHASES[] = {WIRE_FETCHING_IMAGE, WIRE_RUNNING, WIRE_SAVING, WIRE_EXITED};
 static const char *const EXIT_REASONS[] = {
     "", WIRE_DONE, WIRE_STOPPED, WIRE_ERROR, WIRE_NO_RESOURCES, WIRE_DUPLICATE, WIRE_UNKNOWN};
@@ -33,7 +33,9 @@
     return true;
 }
 
-/* A phase or reason that we do not know is taken for the one that frees nothing. */
+/* Reads the phase of a task and the exit reason of an exited task. An unknown phase becomes
+ * MV_TASK_RUNNING, so that the controller does not free the resources of the task. An unknown exit
+ * reason becomes MV_EXIT_ERROR, so that the controller does not count the task as completed. */
 static void parse_task_status(const msgpack_object *object, mv_reported_task *out)
 {
     const int phase =
--- a/src/protocol/agent_messages.h
+++ b/src/protocol/agent_messages.h
@@ -8,7 +8,7 @@
 #include "constants.h"
 #include "protocol/codec.h"
 
-/** What a task on a machine is doing. */
+/** Phase of a task on a machine. */
 typedef enum {
     MV_TASK_FETCHING_IMAGE,
     MV_TASK_RUNNING,
@@ -18,59 +18,60 @@
 
 /** Why a task exited. */
 typedef enum {
-    MV_EXIT_NONE, /* it has not */
+    MV_EXIT_NONE, /* the task has not exited */
     MV_EXIT_DONE,
     MV_EXIT_STOPPED,
     MV_EXIT_ERROR,
-    MV_EXIT_NO_RESOURCES, /* refused: the machine has no room for it */
-    MV_EXIT_DUPLICATE,    /* refused: another attempt of the task is on the machine */
-    MV_EXIT_UNKNOWN_TASK  /* the machine has no such task */
+    MV_EXIT_NO_RESOURCES, /* launch refused: not enough free resources on the machine */
+    MV_EXIT_DUPLICATE,    /* launch refused: the machine has another attempt of the task */
+    MV_EXIT_UNKNOWN_TASK  /* the agent does not know the task */
 } mv_exit_reason;
 
-/** A task as an agent reports it. */
+/** A task in a heartbeat. */
 typedef struct {
     char job_id[MV_ID_SIZE];
-    uint32_t task; /* its index in the job */
+    uint32_t task; /* index of the task in the job */
     uint64_t attempt;
     mv_task_phase phase;
     mv_exit_reason exit_reason; /* MV_EXIT_NONE unless the phase is MV_TASK_EXITED */
 } mv_reported_task;
 
-/** A heartbeat with the status of a machine. */
+/** A heartbeat: an agent's report on its machine and on the tasks there. */
 typedef struct {
     char machine[MV_NAME_SIZE], address[MV_ADDRESS_SIZE], type_name[MV_NAME_SIZE],
         zone_name[MV_NAME_SIZE];
     bool spot;
     uint64_t agent_epoch, sequence, fencing_token;
-    double reclaim_notice_s; /* until the cloud takes the machine; negative: no notice */
+    double reclaim_notice_s; /* time until the cloud reclaims the machine; negative: no notice */
     mv_reported_task *tasks; /* owned */
     size_t task_count;
 } mv_heartbeat;
 
-/** What a command asks of an agent. */
+/** Kind of a command: the agent launches a task, stops a task, or forgets an exited task. */
 typedef enum { MV_COMMAND_LAUNCH, MV_COMMAND_STOP, MV_COMMAND_CLEAR } mv_command_kind;
 
-/** A command about one attempt of one task. */
+/** A command to an agent. Each command applies to one attempt of one task. */
 typedef struct {
     mv_command_kind kind;
     char job_id[MV_ID_SIZE];
     uint32_t task;
     uint64_t attempt;
-    double grace_period_s; /* of a stop */
+    double grace_period_s; /* of a stop: time for the task to save a checkpoint */
 } mv_command;
 
 /**
- * Reads and checks a heartbeat; false when a required field is absent or any is invalid. The
- * caller clears `out` in both cases.
+ * Parses and validates a heartbeat. Returns false if a required field is absent or a field is
+ * invalid. The caller clears `out` in both cases.
  */
 bool mv_heartbeat_parse(const msgpack_object *object, mv_heartbeat *out);
 
-/** Frees what the heartbeat owns, not the heartbeat. */
+/** Frees the list of tasks in `heartbeat`, not `heartbeat` itself. */
 void mv_heartbeat_clear(mv_heartbeat *heartbeat);
 
 /**
- * Packs `commands` (of mv_command; NULL: none) under a fencing token: the response to a heartbeat,
- * or, with an `agent_epoch` that is not 0, the body of a direct command. The caller unrefs it.
+ * Packs `commands` (of mv_command; NULL: no commands) together with the controller's fencing token;
+ * the caller unrefs the bytes. With `agent_epoch` 0 the bytes are the response to a heartbeat. With
+ * any other `agent_epoch` the bytes are the body of a direct command to the agent.
  */
 GBytes *mv_commands_pack(uint64_t fencing_token, uint64_t agent_epoch, const GArray *commands);
 #endif
--- a/src/protocol/cloud_messages.c
+++ b/src/protocol/cloud_messages.c
@@ -1,5 +1,4 @@
-/** Messages between a controller and the cloud: machine types, lists of machines, scale out and in.
- */
+/** Parses responses of the cloud and packs requests to the cloud. */
 #include "protocol/cloud_messages.h"
 
 #include "protocol/names.h"
@@ -32,7 +31,9 @@
             out->zone_count++;
 }
 
-/* False without what a type cannot be used without; nothing is then allocated. */
+/* Reads a machine type. Returns false, and allocates nothing, if the name, the cores or the memory
+ * is absent or invalid, because the scheduler cannot use such a type. An absent optional field gets
+ * a default. */
 static bool parse_machine_type(const msgpack_object *object, mv_machine_type *out)
 {
     if (mv_field_read_text(object, WIRE_NAME, out->name, MV_NAME_SIZE) != MV_FIELD_PRESENT ||
--- a/src/protocol/codec.c
+++ b/src/protocol/codec.c
@@ -1,4 +1,4 @@
-/** MessagePack: unpacking of bodies and reading of fields by name. */
+/** Unpacks MessagePack bodies and reads their fields by name. */
 #include "protocol/codec.h"
 
 #include "protocol/document_check.h"
@@ -8,11 +8,11 @@
 #include <math.h>
 #include <string.h>
 
-#define AMOUNT_MAX 1e9 /* more of anything is taken for an error */
+#define AMOUNT_MAX 1e9 /* a larger amount of any resource or time is treated as an error */
 
 struct mv_document {
     msgpack_unpacked unpacked;
-    char *bytes; /* owned; unpacked texts point into them */
+    char *bytes; /* owned; the unpacked texts point into these bytes */
 };
 
 mv_document *mv_document_parse(const void *bytes, size_t size)
--- a/src/protocol/document_check.c
+++ b/src/protocol/document_check.c
@@ -1,8 +1,8 @@
-/** The check that a MessagePack body passes before it is unpacked. */
+/** Checks a MessagePack body before it is unpacked. */
 #include "protocol/document_check.h"
 
-/* First bytes of values, from the MessagePack specification. What is left out (binary data and
- * extension types) is not part of the protocol. */
+/* First bytes of values, from the MessagePack specification. Binary data and extension types are
+ * missing, because they are not part of the protocol. */
 enum {
     POSITIVE_FIXINT_LAST = 0x7f,
     FIXMAP_LAST = 0x8f,
@@ -31,14 +31,14 @@
     NEGATIVE_FIXINT_FIRST = 0xe0
 };
 
-#define FIX_COUNT_MASK 0x0fu  /* items of a short map or list, in its first byte */
-#define FIX_LENGTH_MASK 0x1fu /* bytes of a short text */
+#define FIX_COUNT_MASK 0x0fu  /* number of items in the first byte of a short map or list */
+#define FIX_LENGTH_MASK 0x1fu /* number of bytes in the first byte of a short text */
 
-/* What the head of a value says. */
+/* Content of the head of a value: of the first byte and of the length or item count behind it. */
 typedef struct {
-    uint64_t bytes;    /* that the value takes itself, without the values inside it */
-    uint64_t children; /* values that follow inside it */
-    bool allowed;
+    uint64_t bytes;    /* size of the value without the values inside a list or map */
+    uint64_t children; /* number of values directly inside a list or map */
+    bool allowed;      /* false: cut off, or a type that is not part of the protocol */
 } value_head;
 
 static const value_head NOT_ALLOWED = {0};
@@ -73,7 +73,8 @@
         .bytes = 1 + count_bytes, .children = items * values_per_item, .allowed = true};
 }
 
-/* Heads that hold everything in their first byte. False: `*head` is not set. */
+/* Reads the head of a value whose length, item count or small number is part of the first byte.
+ * Returns false, and does not set `*head`, for all other values. */
 static bool read_short_head(uint8_t first, value_head *head)
 {
     if (first <= POSITIVE_FIXINT_LAST || first >= NEGATIVE_FIXINT_FIRST)
@@ -135,7 +136,7 @@
 bool mv_document_is_well_formed(const uint8_t *bytes, size_t size)
 {
     size_t left = size;
-    uint64_t expected = 1; /* values that must still follow */
+    uint64_t expected = 1; /* values that still have to follow */
     while (expected > 0) {
         if (left == 0)
             return false;
@@ -145,7 +146,7 @@
         bytes += head.bytes;
         left -= head.bytes;
         expected += head.children - 1;
-        if (expected > left) /* each value takes a byte at least */
+        if (expected > left) /* each value takes at least one byte */
             return false;
     }
     return left == 0;
--- a/src/protocol/document_check.h
+++ b/src/protocol/document_check.h
@@ -1,9 +1,9 @@
 /**
- * The check that a MessagePack body passes before it is unpacked.
+ * Check of a MessagePack body before the body is unpacked.
  *
- * The unpacker of the library reserves memory for as many items as a list claims to have, so a body
- * of five bytes could ask for gigabytes. This check reads the heads of all values without
- * allocating anything.
+ * The unpacker of the MessagePack library allocates memory for the number of items that the head of
+ * a list states. A body of five bytes could therefore make the unpacker allocate gigabytes. This
+ * check reads the heads of all values and allocates no memory.
  */
 #ifndef MV_DOCUMENT_CHECK_H
 #define MV_DOCUMENT_CHECK_H
@@ -12,8 +12,8 @@
 #include <stdint.h>
 
 /**
- * True when the bytes are exactly one value made of text, numbers, booleans, nil, lists and maps,
- * and no list or map claims more items than there are bytes left for them.
+ * Returns true if the bytes are exactly one value, made of text, numbers, booleans, nil, lists and
+ * maps, and if no list or map states more items than the remaining bytes can hold.
  */
 bool mv_document_is_well_formed(const uint8_t *bytes, size_t size);
 #endif
--- a/src/protocol/job_spec.c
+++ b/src/protocol/job_spec.c
@@ -1,11 +1,11 @@
-/** The specification of a job: validation and writing. */
+/** Parses, validates and writes the specification of a job. */
 #include "protocol/job_spec.h"
 
 #include "protocol/names.h"
 
 #include <string.h>
 
-#define JOB_FIELDS 20 /* of a job on the wire */
+#define JOB_FIELDS 20 /* number of fields of a job on the wire */
 
 static const char *const PRIORITIES[] = {WIRE_PROD, WIRE_HIGH, WIRE_STANDARD, WIRE_IDLE};
 
@@ -22,7 +22,7 @@
     return true;
 }
 
-/* --- parsing: each step returns the name of the first field that is wrong, or NULL --- */
+/* --- parsing: each function returns the wire name of the first invalid field, or NULL --- */
 
 static const char *parse_identity(const msgpack_object *object, mv_job_spec *out)
 {
@@ -126,7 +126,7 @@
 
 const char *mv_job_spec_parse(const msgpack_object *object, mv_job_spec *out)
 {
-    /* The order of the steps decides which of several invalid fields the error names. */
+    /* If several fields are invalid, the error names the one that the earliest step checks. */
     static const char *(*const STEPS[])(const msgpack_object *, mv_job_spec *) = {
         parse_identity,      parse_shape,     parse_amounts, parse_image,
         parse_machine_types, parse_placement, parse_deadline};
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,7 +1,7 @@
 /**
- * The messages of the protocol as C values: parsing with validation, and writing.
+ * All protocol messages as C types, with functions that parse, validate and pack the messages.
  *
- * Words of the wire appear through names.h only; the types here speak the terms of the code.
+ * The C types use the standard terms of the code. Only names.h spells the words of the wire.
  */
 #ifndef MV_MESSAGES_H
 #define MV_MESSAGES_H
--- a/src/protocol/writer.c
+++ b/src/protocol/writer.c
@@ -1,4 +1,4 @@
-/** Writing of MessagePack into a growing buffer. */
+/** Writes MessagePack into a growing buffer. */
 #include "protocol/writer.h"
 
 #include <string.h>
--- a/src/protocol/writer.h
+++ b/src/protocol/writer.h
@@ -1,10 +1,11 @@
 /**
- * Writing of MessagePack into a growing buffer.
+ * Writes MessagePack into a growing buffer.
  *
- * The caller says how many fields a map and how many items a list has, and then writes exactly so
- * many. Numbers are written as doubles, counts and ids as unsigned integers.
+ * The caller first states the number of fields of a map, or of items of a list, and then writes
+ * exactly that number of fields or items. Counts and ids are written as unsigned integers, all
+ * other numbers as doubles.
  *
- * Threads: a writer belongs to one thread at a time.
+ * Threads: only one thread at a time may use a writer.
  */
 #ifndef MV_WRITER_H
 #define MV_WRITER_H
@@ -13,25 +14,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A body being written. Callers use the functions below only. */
+/** A body under construction. Callers access the fields through the functions below only. */
 typedef struct {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
 } mv_writer;
 
-/** An empty body; ended by mv_writer_finish or mv_writer_free. */
+/** Returns a writer with an empty body; mv_writer_finish or mv_writer_free frees the writer. */
 mv_writer *mv_writer_new(void);
 
-/** Drops the body. NULL is allowed. */
+/** Frees the writer and discards the body. NULL is allowed. */
 void mv_writer_free(mv_writer *writer);
 
-/** The body, which the caller unrefs; frees the writer. */
+/** Returns the body, which the caller unrefs, and frees the writer. */
 GBytes *mv_writer_finish(mv_writer *writer);
 
-/** Begins a map; so many pairs of a text and a value have to follow. */
+/** Begins a map; the caller then writes `fields` pairs of a text and a value. */
 void mv_write_map(mv_writer *writer, size_t fields);
 
-/** Begins a list; so many values have to follow. */
+/** Begins a list; the caller then writes `items` values. */
 void mv_write_list(mv_writer *writer, size_t items);
 
 /** Writes a text. */
@@ -46,24 +47,24 @@
 /** Writes a boolean. */
 void mv_write_bool(mv_writer *writer, bool value);
 
-/** Writes nil, which readers take for an absent field. */
+/** Writes nil. Readers treat a field with the value nil as absent. */
 void mv_write_nil(mv_writer *writer);
 
-/** Writes a value that is packed already; `packed` is borrowed. */
+/** Writes a value that is already packed. The caller still owns `packed`. */
 void mv_write_packed(mv_writer *writer, GBytes *packed);
 
-/** Writes a list of the texts (char *) in `texts`. */
+/** Writes the texts (char *) in `texts` as a list. */
 void mv_write_text_list(mv_writer *writer, const GPtrArray *texts);
 
-/** Writes a field of a map with a text. */
+/** Writes a map field: the name and a text. */
 void mv_write_text_field(mv_writer *writer, const char *name, const char *value);
 
-/** Writes a field of a map with an unsigned integer. */
+/** Writes a map field: the name and an unsigned integer. */
 void mv_write_u64_field(mv_writer *writer, const char *name, uint64_t value);
 
-/** Writes a field of a map with a double. */
+/** Writes a map field: the name and a double. */
 void mv_write_number_field(mv_writer *writer, const char *name, double value);
 
-/** Writes a field of a map with a boolean. */
+/** Writes a map field: the name and a boolean. */
 void mv_write_bool_field(mv_writer *writer, const char *name, bool value);
 #endif
