--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -30,8 +30,8 @@
 
 /**
  * Reads the fields that a listed machine and a member of a partition have in common. Returns false
- * if the id is absent or invalid. If another text is absent or invalid, its buffer becomes empty;
- * if the boolean is absent or invalid, `*spot` stays unchanged.
+ * if the id is absent or invalid. If another text is absent or invalid, the buffer for this text
+ * becomes empty; if the boolean is absent or invalid, `*spot` stays unchanged.
  */
 bool mv_machine_identity_read(const msgpack_object *object, char id[MV_NAME_SIZE],
                               char address[MV_ADDRESS_SIZE], char type_name[MV_NAME_SIZE],
@@ -51,8 +51,8 @@
 
 /**
  * Parses a page of the cloud's machine list into an array of mv_listed_machine, which the caller
- * unrefs, and sets `*more` to whether another page follows. Returns NULL if the body is not such a
- * page. A machine without an id is left out.
+ * unrefs, and sets `*more` to whether another page follows. Returns NULL if the body has no list of
+ * machines or no boolean for `*more`. A machine without an id is left out.
  */
 GArray *mv_machine_list_parse(const msgpack_object *object, bool *more);
 
--- a/src/protocol/names.h
+++ b/src/protocol/names.h
@@ -1,9 +1,10 @@
 /**
- * The one table of words on the wire and in stored records; nothing else spells them.
+ * Table of all names on the wire and in stored records; no other file spells these names.
  *
- * WIRE_*: paths, fields and values of the protocol page, whose themed words are mapped here to the
- * terms of the code. KEY_*: keys of our own records in the state service. RECORD_*: their fields.
- * Neither the words nor the keys may change: agents, users and stored records have them.
+ * WIRE_*: paths, fields and values of the protocol page. The page uses themed words; the macros
+ * give each word the standard term of the code. KEY_*: keys of the records that controllers keep in
+ * the state service. RECORD_*: fields of these records. The strings must never change, because
+ * agents, users and stored records use them.
  */
 #ifndef MV_NAMES_H
 #define MV_NAMES_H
@@ -123,7 +124,7 @@
 #define WIRE_NO_LEASE "no such lease"
 #define WIRE_EVENTS "news"
 
-/* --- our own records in the state service --- */
+/* --- records of controllers in the state service --- */
 #define KEY_LIVE_PREFIX "v/"
 #define KEY_NODE_PREFIX "v/n/"
 #define KEY_LEADER "v/leader"
--- a/src/protocol/records.c
+++ b/src/protocol/records.c
@@ -1,4 +1,4 @@
-/** The records that the service keeps in the state service: packing and parsing. */
+/** Packs and parses the records that controllers keep in the state service. */
 #include "protocol/records.h"
 
 #include "protocol/names.h"
@@ -42,8 +42,8 @@
     g_clear_pointer(&holder->teams, g_ptr_array_unref);
 }
 
-/* A field that reads the same when it is absent is left out: every byte counts against the limit of
- * a value. */
+/* Writes a machine of a partition. The state service limits the size of a value, so a field that is
+ * false or 0 is left out: readers treat an absent field as false or 0. */
 static void write_member(mv_writer *writer, const mv_partition_member *member)
 {
     mv_write_map(writer, 5 + (member->spot ? 1u : 0u) + (member->term ? 1u : 0u));
@@ -88,7 +88,7 @@
     return members;
 }
 
-/* A record of one field with an integer. */
+/* Packs a record that consists of one integer field. */
 static GBytes *pack_integer(const char *name, uint64_t value)
 {
     mv_writer *writer = mv_writer_new();
@@ -121,8 +121,7 @@
     return mv_writer_finish(writer);
 }
 
-/* Bytes of a job record besides its texts: the names of its fields, the heads of its values and its
- * numbers. */
+/* Bytes of a job record without the job's texts: field names, heads of values, and numbers. */
 #define JOB_RECORD_FRAME_BYTES 460
 #define TEXT_HEAD_BYTES_MAX 3
 
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -1,24 +1,24 @@
 /**
- * The records that the service keeps in the state service: packing and parsing.
+ * Packs and parses the records that controllers keep in the state service.
  *
- * Keys and forms are kept for good, as controllers of two versions read the same records during an
- * upgrade; MV_FORMAT_CURRENT counts the forms. Keys and field names are in names.h. Every `pack`
- * function returns bytes that the caller unrefs.
+ * Keys and formats of records never change, because controllers of two versions read the same
+ * records during an upgrade. MV_FORMAT_CURRENT is the number of the newest format. names.h defines
+ * the keys and the field names. Every `pack` function returns bytes that the caller unrefs.
  */
 #ifndef MV_RECORDS_H
 #define MV_RECORDS_H
 #include "protocol/messages.h"
 
 /**
- * Who owns a shard: some teams and a partition of the machines. Also a controller's own entry and
- * the leader's, which have no teams.
+ * The owner of a shard. A shard consists of some teams and a partition of the machines. The same
+ * type also serves for the entry of a controller (KEY_NODE_PREFIX) and for the leader (KEY_LEADER);
+ * these two records have no teams.
  */
 typedef struct {
     char node[MV_NAME_SIZE];
     uint64_t incarnation, term;
     GPtrArray *teams; /* names (char *), owned, or NULL */
-    unsigned format;  /* in a controller's own entry: MV_FORMAT_CURRENT of its version; 0: not said
-                       */
+    unsigned format;  /* entry of a controller: MV_FORMAT_CURRENT of its version; 0: not stated */
 } mv_lease_holder;
 
 /** A machine of a partition. */
@@ -26,58 +26,80 @@
     char id[MV_NAME_SIZE], address[MV_ADDRESS_SIZE], type_name[MV_NAME_SIZE],
         zone_name[MV_NAME_SIZE];
     bool spot;
-    uint64_t term;         /* its own, which counts when it is newer than the owner's; 0: none */
-    double rented_at_wall; /* when it was requested: wall clock, in full seconds */
+    uint64_t term; /* replaces the term of the shard's owner if higher; 0: no term of its own */
+    double rented_at_wall; /* time of the request to the cloud: wall clock, in full seconds */
 } mv_partition_member;
 
-/** Packs an owner; teams and format are left out when it has none. */
+/** Packs an owner. The record has no teams if `teams` is NULL, and no format if `format` is 0. */
 GBytes *mv_lease_holder_pack(const mv_lease_holder *holder);
 
-/** Reads an owner; false when a field is absent. The caller clears `out` in both cases. */
+/**
+ * Parses an owner. Returns false if node, incarnation or term is absent or invalid. The caller
+ * clears `out` in both cases.
+ */
 bool mv_lease_holder_parse(const msgpack_object *object, mv_lease_holder *out);
 
-/** Frees what the owner's struct owns, not the struct. */
+/** Frees the list of teams in `holder`, not `holder` itself. */
 void mv_lease_holder_clear(mv_lease_holder *holder);
 
-/** Packs a segment of a partition from an array of mv_partition_member. */
+/** Packs a segment of a partition; `members` is an array of mv_partition_member. */
 GBytes *mv_partition_pack(const GArray *members);
 
 /**
- * Reads a segment of a partition: an array of mv_partition_member that the caller unrefs, or NULL
- * when it is none. Members without an id are left out.
+ * Parses a segment of a partition into an array of mv_partition_member, which the caller unrefs.
+ * Returns NULL if the record has no list of machines. A machine without an id is left out.
  */
 GArray *mv_partition_parse(const msgpack_object *object);
 
-/** Packs the format of records that a controller's version writes. */
+/** Packs a record with `format`, the number of the record format that a controller writes. */
 GBytes *mv_format_pack(unsigned format);
 
-/** Packs a record of one integer, which readers of any version find by its field. */
+/** Packs a record of one integer. The field has the same name in all versions of the service. */
 GBytes *mv_counter_pack(uint64_t value);
 
-/** Reads a record of one integer. */
+/** Parses a record of one integer. Returns false if the field is absent or invalid. */
 bool mv_counter_parse(const msgpack_object *object, uint64_t *value);
 
-/** Packs an accepted job with the shard that it belongs to and the wall clock of its acceptance. */
+/**
+ * Packs an accepted job, together with the index of the job's shard and the time of acceptance by
+ * the wall clock.
+ */
 GBytes *mv_job_record_pack(const mv_job_spec *job, unsigned home_shard, double accepted_at_wall);
 
 /**
- * Reads an accepted job. With true the caller clears `job`; with false there is nothing to clear.
+ * Parses an accepted job. If the result is true, the caller clears `job`. If a field is absent or
+ * invalid, the result is false and `job` owns nothing.
  */
 bool mv_job_record_parse(const msgpack_object *object, mv_job_spec *job, unsigned *home_shard,
                          double *accepted_at_wall);
 
-/** Bytes of a job's record in the form that the limits count, or a little more. */
+/**
+ * Returns the size of a job's record in bytes, as the limits of the state service count the size.
+ * The result is an upper estimate, which can be slightly too high.
+ */
 size_t mv_job_record_bytes(const mv_job_spec *job);
 
-/** Packs the completed tasks of one chunk as hex digits, and how many tasks of it run. */
+/**
+ * Packs the completion record of one chunk of a job: the bitmap of completed tasks as hex digits,
+ * and the number of running tasks of the whole job.
+ */
 GBytes *mv_completion_record_pack(const char *bits, unsigned running);
 
-/** Reads them; `bits` is overwritten, `*running` is 0 when absent. Both unchanged with false. */
+/**
+ * Parses a completion record and overwrites `bits`. `*running` becomes 0 if the field is absent.
+ * Returns false, and leaves `bits` and `*running` unchanged, if the record is invalid.
+ */
 bool mv_completion_record_parse(const msgpack_object *object, GString *bits, unsigned *running);
 
-/** Packs how a job ended (done, or cancelled) and when, by the wall clock. */
+/**
+ * Packs the outcome of a job (done or cancelled), the number of the job's tasks, and the end time
+ * by the wall clock.
+ */
 GBytes *mv_final_record_pack(bool done, unsigned tasks, double ended_at_wall);
 
-/** Reads how a job ended; false when the record does not say. */
+/**
+ * Parses the outcome of a job. Returns false if the outcome or the number of tasks is absent or
+ * invalid.
+ */
 bool mv_final_record_parse(const msgpack_object *object, bool *done, unsigned *tasks);
 #endif
--- a/src/storage/request_pool.c
+++ b/src/storage/request_pool.c
@@ -24,8 +24,8 @@
     bool stopping;
 };
 
-/* Waits for a request and removes it from the queue; returns NULL when the pool is stopping and the
- * queue is empty. The caller holds the lock. */
+/* Waits for a request and removes the oldest request from the queue. Returns NULL when the pool is
+ * stopping and the queue is empty. The caller holds the lock. */
 static pending_request *next_request(mv_request_pool *pool)
 {
     while (!pool->stopping && g_queue_is_empty(&pool->requests))
--- a/src/storage/state_client.h
+++ b/src/storage/state_client.h
@@ -30,7 +30,7 @@
 } mv_request_sender;
 
 /**
- * Sends a request and returns its result. If the state service refuses the request over the rate
+ * Sends a request and returns the result. If the state service refuses the request over the rate
  * limit, retries after a pause, up to MV_STATE_STORE_ATTEMPTS attempts in all. With
  * MV_STATE_STORE_OK `*document` is the body of the response, which the caller frees; otherwise
  * `*document` is NULL. `document` may be NULL if the caller does not need the body.
