--- a/src/protocol/agent_messages.c
+++ b/src/protocol/agent_messages.c
@@ -80,7 +80,7 @@
            mv_field_read_bool(object, WIRE_SPOT, &out->spot) != MV_FIELD_INVALID;
 }
 
-static bool parse_order_and_token(const msgpack_object *object, mv_heartbeat *out)
+static bool parse_agent_state(const msgpack_object *object, mv_heartbeat *out)
 {
     return mv_field_read_u64(object, WIRE_AGENT_EPOCH, &out->agent_epoch) == MV_FIELD_PRESENT &&
            mv_field_read_u64(object, WIRE_SEQUENCE, &out->sequence) == MV_FIELD_PRESENT &&
@@ -95,8 +95,7 @@
     out->reclaim_notice_s = -1;
     if (!object || object->type != MSGPACK_OBJECT_MAP)
         return false;
-    return parse_machine(object, out) && parse_order_and_token(object, out) &&
-           parse_tasks(object, out);
+    return parse_machine(object, out) && parse_agent_state(object, out) && parse_tasks(object, out);
 }
 
 void mv_heartbeat_clear(mv_heartbeat *heartbeat)
--- a/src/protocol/records.c
+++ b/src/protocol/records.c
@@ -122,12 +122,12 @@
 }
 
 /* Bytes of a job record without the job's texts: field names, heads of values, and numbers. */
-#define JOB_RECORD_FRAME_BYTES 460
+#define JOB_RECORD_FIXED_BYTES 460
 #define TEXT_HEAD_BYTES_MAX 3
 
 size_t mv_job_record_bytes(const mv_job_spec *job)
 {
-    size_t bytes = JOB_RECORD_FRAME_BYTES + strlen(job->id) + strlen(job->class_name) +
+    size_t bytes = JOB_RECORD_FIXED_BYTES + strlen(job->id) + strlen(job->class_name) +
                    strlen(job->team_name) + strlen(job->image_name) + strlen(job->zone_name);
     for (size_t i = 0; i < job->type_name_count; i++)
         bytes += strlen(job->type_names[i]) + TEXT_HEAD_BYTES_MAX;
