--- a/src/storage/write_budget.h
+++ b/src/storage/write_budget.h
@@ -6,7 +6,7 @@
  * deferrable write (such as a completion record) also takes a token from a second, smaller bucket,
  * whose rate is divided among the controllers that make deferrable writes. Deferrable writes
  * therefore do not use up the limit, and the state service does not refuse submissions, ends of
- * jobs and shard grants because of them.
+ * jobs and shard grants because of deferrable writes.
  *
  * Threads: every function may be called from any thread; the budget has a lock of its own.
  */
@@ -41,7 +41,7 @@
 /**
  * Empties the main bucket and reduces this controller's share of the limit. Callers use this after
  * the state service refused a write over the rate limit: other controllers use the same limit, so
- * this controller writes less until its share has grown back over time.
+ * this controller writes less until the share has grown back over time.
  */
 void mv_write_budget_throttle(mv_write_budget *budget);
 #endif
