--- a/src/protocol/agent_messages.c
+++ b/src/protocol/agent_messages.c
@@ -1,4 +1,4 @@
-/** Messages between a controller and the agents of machines: heartbeats and commands. */
+/** Parses heartbeats of agents and packs commands to agents. */
 #include "protocol/agent_messages.h"
 
 #include "protocol/job_spec.h"
@@ -6,10 +6,10 @@
 
 #include <string.h>
 
-/* A job id, a slash and the index of a task: "j-000412/3". */
+/* A task name consists of the job id, a slash and the index of the task: "j-000412/3". */
 #define TASK_NAME_SIZE (MV_ID_SIZE + 12)
 
-/* In the order of mv_task_phase, mv_exit_reason and mv_command_kind. */
+/* Names on the wire, in the order of mv_task_phase, mv_exit_reason and mv_command_kind. */
 static const char *const PHASES[] = {WIRE_FETCHING_IMAGE, WIRE_RUNNING, WIRE_SAVING, WIRE_EXITED};
 static const char *const EXIT_REASONS[] = {
     "", WIRE_DONE, WIRE_STOPPED, WIRE_ERROR, WIRE_NO_RESOURCES, WIRE_DUPLICATE, WIRE_UNKNOWN};
@@ -33,7 +33,9 @@
     return true;
 }
 
-/* A phase or reason that we do not know is taken for the one that frees nothing. */
+/* Reads the phase of a task and the exit reason of an exited task. An unknown phase becomes
+ * MV_TASK_RUNNING, so that the controller does not free the resources of the task. An unknown exit
+ * reason becomes MV_EXIT_ERROR, so that the controller does not count the task as completed. */
 static void parse_task_status(const msgpack_object *object, mv_reported_task *out)
 {
     const int phase =
@@ -78,7 +80,7 @@
            mv_field_read_bool(object, WIRE_SPOT, &out->spot) != MV_FIELD_INVALID;
 }
 
-static bool parse_order_and_token(const msgpack_object *object, mv_heartbeat *out)
+static bool parse_agent_state(const msgpack_object *object, mv_heartbeat *out)
 {
     return mv_field_read_u64(object, WIRE_AGENT_EPOCH, &out->agent_epoch) == MV_FIELD_PRESENT &&
            mv_field_read_u64(object, WIRE_SEQUENCE, &out->sequence) == MV_FIELD_PRESENT &&
@@ -93,8 +95,7 @@
     out->reclaim_notice_s = -1;
     if (!object || object->type != MSGPACK_OBJECT_MAP)
         return false;
-    return parse_machine(object, out) && parse_order_and_token(object, out) &&
-           parse_tasks(object, out);
+    return parse_machine(object, out) && parse_agent_state(object, out) && parse_tasks(object, out);
 }
 
 void mv_heartbeat_clear(mv_heartbeat *heartbeat)
