--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,4 +1,4 @@
-/** Blocking HTTP requests, by libcurl with one easy handle for each thread. */
+/** Blocking HTTP requests, built on libcurl with one easy handle for each thread. */
 #include "transport/http_client.h"
 
 #include "constants.h"
@@ -9,10 +9,11 @@
 
 #define URL_SIZE 512
 
+/* The client of one thread. */
 typedef struct {
     CURL *easy;
     struct curl_slist *headers;
-    GByteArray *body; /* of the latest response */
+    GByteArray *body; /* of the latest response; the buffer is reused */
 } http_client;
 
 static void client_free(gpointer data)
@@ -31,7 +32,8 @@
     curl_global_init(CURL_GLOBAL_NOTHING);
 }
 
-/* Called by the library with each chunk of a response; less than all of it ends the request. */
+/* libcurl calls this with each chunk of a response. A return value below the chunk's size makes
+ * libcurl abort the request, which happens when the body exceeds MV_RESPONSE_BYTES_MAX. */
 static size_t append_to_body(char *data, size_t item_size, size_t items, void *into)
 {
     GByteArray *body = into;
@@ -62,7 +64,7 @@
     return client;
 }
 
-/* The calling thread's client. */
+/* Returns the calling thread's client, and creates the client on the first call. */
 static http_client *client_get(void)
 {
     http_client *client = g_private_get(&thread_client);
@@ -80,6 +82,7 @@
         (long)CLAMP(connections, MV_CLIENT_CONNECTIONS_MIN, MV_CLIENT_CONNECTIONS_MAX));
 }
 
+/* Sets the URL and the timeouts of the next request. */
 static void set_target(CURL *easy, const char *to, const char *path, unsigned timeout_ms)
 {
     char url[URL_SIZE];
@@ -89,6 +92,7 @@
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)MIN(timeout_ms, MV_CONNECT_TIMEOUT_MS));
 }
 
+/* Sets the method and the body of the next request; GET is sent without a body. */
 static void set_method_and_body(CURL *easy, const char *method, GBytes *body)
 {
     if (strcmp(method, "GET") == 0) {
@@ -104,7 +108,8 @@
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
 }
 
-/* The buffer of a large response, which is rare, is not kept. */
+/* Replaces the buffer after a response of more than MV_BODY_BYTES_MAX. Large responses are rare, so
+ * their buffer is not kept for reuse. */
 static void shrink_body(http_client *client)
 {
     if (client->body->len <= MV_BODY_BYTES_MAX)
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,4 +1,4 @@
-/** The HTTP server, by libmicrohttpd. */
+/** The HTTP server, built on libmicrohttpd ("the library" in this file). */
 #include "transport/http_server.h"
 
 #include "constants.h"
@@ -17,42 +17,43 @@
 #define LOG_LINE_SIZE 300
 
 struct mv_http_server {
-    struct MHD_Daemon *daemon; /* NULL until it serves */
+    struct MHD_Daemon *daemon; /* NULL until mv_http_server_start has started it */
     int fd;
     uint16_t port;
     mv_http_limits limits;
     mv_http_handler handler;
-    unsigned requests_since_pause; /* answered at once; the library's thread only */
+    unsigned requests_since_pause; /* used by the library's thread only */
     gint open_connections;         /* atomic */
-    /* See mv_http_load; atomic, changed by the library's thread only. */
+    /* Totals for mv_http_load. They are atomic, and only the library's thread changes them. */
     gsize pauses, rejected_requests, closed_connections;
     pthread_t threads[MV_REQUEST_THREADS];
     unsigned thread_count;
     pthread_mutex_t lock; /* guards the fields below */
     pthread_cond_t request_available;
-    GQueue queue; /* of http_request; each is owned by its connection */
+    GQueue queue; /* of http_request *, each owned by its connection */
     bool stopping;
 };
 
 typedef enum {
     REQUEST_READING,
-    REQUEST_QUEUED, /* its connection is suspended */
-    REQUEST_ANSWERED
+    REQUEST_QUEUED,  /* the request's connection is suspended */
+    REQUEST_ANSWERED /* a request thread has filled in the response */
 } request_state;
 
 typedef struct {
     struct MHD_Connection *connection;
     GByteArray *body;
-    bool too_large;
+    bool too_large; /* the body exceeds MV_BODY_BYTES_MAX */
     request_state state;
-    char *method, *path; /* while it is queued */
+    char *method, *path; /* copies, set when the request is queued */
     mv_http_response response;
 } http_request;
 
 /* --- responses --- */
 
-/* Whether few connections are left. One controller may have to serve a whole fleet: agents once
- * took every connection there was, and health checks and users found none. */
+/* Returns whether the share of open connections exceeds MV_HTTP_SATURATED_SHARE. One controller may
+ * have to serve the whole fleet. Without this check the agents took every connection, and health
+ * checks and users could not connect. */
 static bool connections_saturated(mv_http_server *server)
 {
     return (unsigned)g_atomic_int_get(&server->open_connections) >
@@ -71,7 +72,8 @@
     MHD_add_response_header(reply, MHD_HTTP_HEADER_RETRY_AFTER, seconds);
 }
 
-/* Has the connection ended with this response. */
+/* Tells the library and the client to close the connection after this response, and counts the
+ * connection in closed_connections. */
 static void add_close_header(mv_http_server *server, struct MHD_Response *reply)
 {
     MHD_add_response_header(reply, MHD_HTTP_HEADER_CONNECTION, "close");
@@ -92,7 +94,8 @@
     if (!reply)
         return MHD_NO;
     add_headers(reply, response);
-    /* Requests answered at once are those of agents; users' requests have been queued. */
+    /* A request in state REQUEST_READING was not queued: a heartbeat, a health check or a rejected
+     * request. Accepted requests of users have been queued, so users keep their connections. */
     if (request->state == REQUEST_READING && connections_saturated(server))
         add_close_header(server, reply);
     const enum MHD_Result result =
@@ -112,11 +115,13 @@
                            &request->response);
 }
 
-/* For each heartbeat the library's thread takes the lock of the controller, which it leaves for a
- * moment only, and it stops only when nothing is left to read. With a thousand heartbeats in a row,
- * which is what the end of a controller brings at 4,000 machines, renewals of the lease session
- * took two to five seconds: the session expired, the next controller got the shard besides its own,
- * and broke down under it in its turn. */
+/* Pauses the library's thread after each batch of MV_HTTP_REQUEST_BATCH requests, so that other
+ * threads get the controller's lock. The library's thread takes that lock for each heartbeat,
+ * releases the lock only for a moment between two heartbeats, and stops only when no request is
+ * left to read. At 4,000 machines, the end of a controller brings a thousand heartbeats in a row to
+ * its successor. Without the pause, renewals of the successor's lease session then took two to five
+ * seconds. The session expired, the next controller got the shard in addition to its own shard, and
+ * that controller broke down under the load in the same way. */
 static void pause_after_batch(mv_http_server *server)
 {
     if (++server->requests_since_pause < MV_HTTP_REQUEST_BATCH)
@@ -126,7 +131,8 @@
     g_usleep(MV_HTTP_PAUSE_US);
 }
 
-/* The next queued request, or NULL when the server stops and none is left. Called with the lock. */
+/* Waits for the next queued request and returns it. Returns NULL when the server is stopping and
+ * the queue is empty. The caller holds the lock. */
 static http_request *next_request(mv_http_server *server)
 {
     while (!server->stopping && g_queue_is_empty(&server->queue))
@@ -134,6 +140,7 @@
     return g_queue_pop_head(&server->queue);
 }
 
+/* Answers queued requests until the server has stopped and the queue is empty. */
 static void *request_thread(void *argument)
 {
     mv_http_server *server = argument;
@@ -150,7 +157,9 @@
     return NULL;
 }
 
-/* Leaves the request to the server's own threads; false: too many wait already. */
+/* Queues the request for the request threads and suspends its connection. Returns false, and queues
+ * nothing, when the queue has reached the limit for this kind of request or the server is
+ * stopping. */
 static bool enqueue(mv_http_server *server, struct MHD_Connection *connection, const char *method,
                     const char *path, http_request *request)
 {
@@ -170,16 +179,18 @@
     return accepted;
 }
 
+/* Fills in the response to a request that enqueue refused. */
 static void reject(mv_http_server *server, const char *method, const char *path,
                    http_request *request)
 {
     server->handler.overloaded(method, path, &request->response);
     g_atomic_pointer_add(&server->rejected_requests, 1);
-    mv_log_limited(MV_LOG_INFO, "request_rejected", "method=%s waiting=%u", method,
+    mv_log_limited(MV_LOG_INFO, "request_rejected", "method=%s queue_limit=%u", method,
                    server->handler.queue_limit(method, path));
 }
 
-/* The rest of a body that is too large is read and dropped, so that the response is read. */
+/* Appends a chunk to the request's body. If the body becomes too large, the rest of the body is
+ * received and dropped, so that the client finishes sending and then reads the response. */
 static void append_to_body(http_request *request, const char *data, size_t size)
 {
     request->too_large = request->too_large || request->body->len + size > MV_BODY_BYTES_MAX;
@@ -187,7 +198,9 @@
         g_byte_array_append(request->body, (const guint8 *)data, (guint)size);
 }
 
-/* A request that was read whole: answered at once, queued or rejected. */
+/* Handles a request whose headers and body have been received: answers the request on this thread
+ * if the answer never blocks, otherwise queues the request, or rejects the request if the queue is
+ * full. */
 static enum MHD_Result dispatch(mv_http_server *server, struct MHD_Connection *connection,
                                 const char *method, const char *path, http_request *request)
 {
@@ -202,10 +215,11 @@
     return send_response(server, connection, request);
 }
 
-/* --- callbacks of the library, all on its one thread --- */
+/* --- callbacks, all called on the library's one thread --- */
 
-/* Called when the headers have been read, then for each chunk of the body, then without data when
- * the request has been read whole, and once more after a suspended connection is resumed. */
+/* The library calls this when the headers have been received, then for each chunk of the body, then
+ * without data when the whole request has been received, and one more time after a suspended
+ * connection has been resumed. */
 static enum MHD_Result on_request(void *context, struct MHD_Connection *connection,
                                   const char *path, const char *method, const char *version,
                                   const char *data, size_t *size, void **slot)
@@ -235,6 +249,7 @@
     return send_response(server, connection, request);
 }
 
+/* The library calls this when a connection has been opened or closed. */
 static void on_connection(void *context, struct MHD_Connection *connection, void **slot,
                           enum MHD_ConnectionNotificationCode event)
 {
@@ -244,6 +259,8 @@
     g_atomic_int_add(&server->open_connections, event == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
 }
 
+/* The library calls this when a request has ended, with or without a response. Frees the request.
+ */
 static void on_completed(void *context, struct MHD_Connection *connection, void **slot,
                          enum MHD_RequestTerminationCode reason)
 {
@@ -261,7 +278,8 @@
     *slot = NULL;
 }
 
-/* Messages of the library go to our own log. */
+/* The library calls this for each of its messages. Writes the message to the service's log, as one
+ * line without quotation marks. */
 static void on_log(void *context, const char *format, va_list arguments)
 {
     char line[LOG_LINE_SIZE];
@@ -269,13 +287,13 @@
     if (vsnprintf(line, sizeof line, format, arguments) < 0)
         return;
     g_strdelimit(line, "\n\"", ' ');
-    mv_log_limited(MV_LOG_INFO, "http_server_message", "said=\"%s\"", g_strchomp(line));
+    mv_log_limited(MV_LOG_INFO, "http_server_message", "message=\"%s\"", g_strchomp(line));
 }
 
 /* --- start, load and end --- */
 
-/* A socket bound to the address; -1: it cannot be had. It does not block, as the library wants of
- * the sockets that it did not make itself. */
+/* Returns a socket that is bound to the address, or -1 when the address cannot be bound. The socket
+ * is non-blocking, because the library requires that of a socket that the caller created. */
 static int bind_socket(const mv_endpoint *at)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(at->port)};
@@ -344,11 +362,12 @@
     server->stopping = true;
     pthread_cond_broadcast(&server->request_available);
     pthread_mutex_unlock(&server->lock);
-    /* They answer what is queued, so that no connection is left suspended. */
+    /* The request threads answer all queued requests before they end, so that no connection stays
+     * suspended. */
     for (unsigned i = 0; i < server->thread_count; i++)
         pthread_join(server->threads[i], NULL);
     if (server->daemon)
-        MHD_stop_daemon(server->daemon); /* closes the socket too */
+        MHD_stop_daemon(server->daemon); /* also closes server->fd */
     else
         close(server->fd);
     pthread_mutex_destroy(&server->lock);
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,13 +1,13 @@
 /**
  * The HTTP server for users, agents and health checks.
  *
- * One thread of the library serves all connections. It answers at once the requests that never wait
- * (heartbeats, health checks); the others, which may have to wait for the state service or a peer,
- * go through a queue to the server's own threads.
+ * One thread of libmicrohttpd serves all connections. That thread itself answers the requests that
+ * never block (heartbeats, health checks). All other requests may have to wait for the state
+ * service or a peer, so they go through a queue to the server's request threads.
  *
- * A thread for each connection cost more than the requests did: 90 us and some 35 system calls for
- * one that comes and goes, against 20 us for a heartbeat, and after a failover a thousand come at
- * once.
+ * The server does not start a thread for each connection, because the thread costs more than the
+ * requests do: 90 us and about 35 system calls for a connection that is opened and closed, against
+ * 20 us for a heartbeat. After a failover a thousand connections arrive at the same time.
  */
 #ifndef MV_HTTP_SERVER_H
 #define MV_HTTP_SERVER_H
@@ -18,59 +18,65 @@
 /** The server; opaque. */
 typedef struct mv_http_server mv_http_server;
 
-/** A response that a handler fills in; all zero before. */
+/** A response that a handler fills in. The server sets all fields to zero beforehand. */
 typedef struct {
     int status;
-    GBytes *body;      /* given to the server; may be NULL */
-    int retry_after_s; /* 0: no such header */
-    bool is_text;      /* plain text instead of MessagePack */
+    GBytes *body;      /* the server takes ownership; NULL: empty body */
+    int retry_after_s; /* seconds in the Retry-After header; 0: no header */
+    bool is_text;      /* the body is plain text instead of MessagePack */
 } mv_http_response;
 
-/** Who answers the requests. `context` is borrowed and goes to `answer`. */
+/** The functions that answer requests. `context` is borrowed and is passed to `answer`. */
 typedef struct {
-    /** Answers a request, on any thread. `body` is NULL when it was larger than the protocol
-     * allows.
+    /** Fills in the response to a request. Called on any thread. `body` is NULL when the request's
+     * body was larger than MV_BODY_BYTES_MAX, the limit of the protocol.
      */
     void (*answer)(void *context, const char *method, const char *path, const uint8_t *body,
                    size_t size, mv_http_response *response);
-    /** Whether the answer never waits for anybody, so that it may be given at once. */
+    /** Returns whether `answer` never blocks for this request, so that the request need not be
+     * queued. */
     bool (*is_nonblocking)(const char *method, const char *path);
-    /** How many requests may wait already for this one to wait as well. */
+    /** Returns the length of the queue at which this request is rejected instead of queued. */
     unsigned (*queue_limit)(const char *method, const char *path);
-    /** The answer when more than that wait. */
+    /** Fills in the response to a request that is rejected because the queue is full. */
     void (*overloaded)(const char *method, const char *path, mv_http_response *response);
     void *context;
 } mv_http_handler;
 
-/** Limits of connections. */
+/** Limits on connections. */
 typedef struct {
-    unsigned connections; /* served at once */
-    unsigned idle_s;      /* a connection without a request for so long is ended */
+    unsigned connections; /* most connections open at the same time */
+    unsigned idle_s;      /* a connection without traffic for this time is closed */
 } mv_http_limits;
 
 /**
- * Takes the address; NULL when it cannot be had. Connections are refused until
- * mv_http_server_start. `limits` and `handler` are copied. End with mv_http_server_free in any
- * case.
+ * Creates a server and binds its socket to the address. Returns NULL when the address cannot be
+ * bound. The server refuses connections until mv_http_server_start. `limits` and `handler` are
+ * copied. The caller frees the server with mv_http_server_free, also when mv_http_server_start
+ * fails.
  */
 mv_http_server *mv_http_server_bind(const mv_endpoint *at, const mv_http_limits *limits,
                                     const mv_http_handler *handler);
 
-/** Begins to serve; false when that failed. */
+/**
+ * Starts the server's threads and accepts connections. Returns false when no request thread could
+ * be started, or when the socket or the library refused to listen.
+ */
 bool mv_http_server_start(mv_http_server *server);
 
-/** How much the server has to do, and what that led to. Counts are since the start. */
+/** The server's load. The totals count from the start of the server. */
 typedef struct {
-    unsigned connections, connection_limit; /* open now, and at most */
-    unsigned queued_requests;               /* that wait for a thread */
-    guint64 pauses;                         /* of the thread that answers at once */
-    guint64 rejected_requests;              /* answered that too many wait already */
-    guint64 closed_connections; /* ended with their response, as few connections were left */
+    unsigned connections, connection_limit; /* open now; most at the same time */
+    unsigned queued_requests;               /* requests that wait for a request thread */
+    guint64 pauses;                         /* total; pauses of the library's thread */
+    guint64 rejected_requests;              /* total; rejected because the queue was full */
+    guint64 closed_connections;             /* total; closed after a response, because few
+                                               connections were left */
 } mv_http_load;
 
-/** The load; from any thread. */
+/** Returns the server's load. May be called from any thread. */
 mv_http_load mv_http_server_load(mv_http_server *server);
 
-/** Answers the requests that wait, ends all connections and frees the server. */
+/** Answers the queued requests, closes all connections and frees the server, which is not NULL. */
 void mv_http_server_free(mv_http_server *server);
 #endif
