--- a/src/config/endpoint.c
+++ b/src/config/endpoint.c
@@ -1,4 +1,4 @@
-/** A network address as settings write it. */
+/** Parser of network addresses in settings. */
 #include "config/endpoint.h"
 
 #include <arpa/inet.h>
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,4 +1,4 @@
-/** The settings in use: ownership, look-ups and the times derived from them. */
+/** Ownership and look-up of settings, and times that are derived from them. */
 #include "config/settings.h"
 
 #include <glib.h>
@@ -24,8 +24,10 @@
 
 double mv_settings_shard_lease_s(const mv_settings *settings)
 {
-    /* An agent that only an outdated owner reaches keeps a cancelled task for the owner's lease and
-     * then for its own: together they must stay below cancel_s. */
+    /* If an agent is reached only by a former owner of the shard, that owner keeps a cancelled task
+     * running until the owner's lease of the shard expires, and the agent keeps the task running
+     * until the agent's own lease expires after that. Both leases together must end before
+     * cancel_s. */
     const double after_agent_lease_s = settings->cancel_s - settings->lease_s;
     const double lease_max_s = after_agent_lease_s - MV_CANCEL_MARGIN_S;
     const double lease_min_s = MIN(MV_SESSION_TTL_S, after_agent_lease_s / 2);
@@ -35,10 +37,11 @@
 
 double mv_settings_cancel_bound_s(const mv_settings *settings)
 {
-    /* The owner counts its lease short by the drift of its clock, so it is no longer than this. */
+    /* The owner shortens its lease by the possible drift of its clock, so the lease does not last
+     * longer than this. */
     const double owner_lease_s = mv_settings_shard_lease_s(settings);
     const double agent_lease_s = settings->lease_s * (1 + MV_CLOCK_DRIFT);
-    /* MV_AGENT_KILL_S: the longest time from an agent's look at its clock until the kill, and for
-     * a stop that is on its way. */
+    /* MV_AGENT_KILL_S covers the longest time between an agent's check of its clock and the kill of
+     * the task, and also the time for a stop command that is in flight. */
     return owner_lease_s + agent_lease_s + MV_AGENT_KILL_S;
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,7 +1,9 @@
 /**
- * The settings of a controller: the platform's (TOML) and the operators' own (YAML), checked.
+ * The checked settings of a controller: the platform's settings (a TOML file) and the operators'
+ * settings (a YAML file).
  *
- * They are loaded once at the start and not changed afterwards, so any thread may read them.
+ * The controller loads the settings at its start and does not change them afterwards, so any thread
+ * may read them.
  */
 #ifndef MV_SETTINGS_H
 #define MV_SETTINGS_H
@@ -20,51 +22,58 @@
     mv_endpoint endpoint;
 } mv_peer_settings;
 
-/** A team: its quota (guarantee) and its limit (max). 0: none. */
+/** A team: its guaranteed quota (cpus, gpus) and its limit (cpus_max, gpus_max). 0 means no
+ * guarantee or no limit. */
 typedef struct {
     char name[MV_NAME_SIZE];
     double cpus, cpus_max, gpus, gpus_max;
 } mv_team_settings;
 
-/** What an objective (SLO) is about. */
+/** What a service-level objective limits. */
 typedef enum {
     MV_OBJECTIVE_DEADLINE,
     MV_OBJECTIVE_WAIT,
     MV_OBJECTIVE_FINISHED,
     MV_OBJECTIVE_GUARANTEE,
-    MV_OBJECTIVE_OTHER /* a kind that this version does not know */
+    MV_OBJECTIVE_OTHER /* a kind that this version does not implement */
 } mv_objective_kind;
 
 /** A service-level objective. */
 typedef struct {
     mv_objective_kind kind;
-    char kind_name[32];
-    char class_name[MV_NAME_SIZE]; /* empty: all work */
+    char kind_name[32];            /* the kind as the file writes it */
+    char class_name[MV_NAME_SIZE]; /* class of jobs to which it applies; empty: all jobs */
     double within_s, target_share;
 } mv_objective;
 
-/** What a controller may launch during an outage of the state service for every controller. */
+/** What a controller may launch while no controller reaches the state service. */
 typedef enum {
-    MV_LAUNCH_WHILE_LEASED, /* everything, until the lease of its shard expires */
+    MV_LAUNCH_WHILE_LEASED, /* all work, until the lease of the controller's shard expires */
     MV_LAUNCH_WITHIN_QUOTA, /* work within a team's guarantee, and services */
     MV_LAUNCH_NEVER         /* nothing */
 } mv_launch_without_state;
 
-/** What an unreachable state service is taken for while no other controller can be asked. */
+/**
+ * How a controller classifies the failure when the state service does not answer and the controller
+ * cannot ask any other controller either.
+ */
 typedef enum {
     MV_WITHOUT_WITNESS_ISOLATED, /* this controller is isolated */
-    MV_WITHOUT_WITNESS_OUTAGE    /* the service has an outage */
+    MV_WITHOUT_WITNESS_OUTAGE    /* the state service has an outage */
 } mv_launch_without_witness;
 
-/** What operators may tune; every value has a default in constants.h. */
+/**
+ * Settings that operators may tune. MV_OPERATOR_SETTINGS_DEFAULT holds the defaults, most of which
+ * are named in constants.h.
+ */
 typedef struct {
-    double image_wait_s;        /* wait for a machine that has the image */
-    double shard_lease_s;       /* upper limit; see mv_settings_shard_lease_s */
-    double idle_timeout_s;      /* idle machines are scaled in after this */
-    double boot_timeout_factor; /* times the nominal boot time */
-    unsigned shards;            /* 0: as the size of the fleet asks */
-    unsigned idle_machine_allowance;
-    bool launch_gate; /* an isolated controller launches nothing */
+    double image_wait_s;        /* longest wait of a task for a machine that has the image */
+    double shard_lease_s;       /* upper bound of a shard's lease, see mv_settings_shard_lease_s */
+    double idle_timeout_s;      /* an idle machine is scaled in after this time */
+    double boot_timeout_factor; /* boot timeout as a multiple of the nominal boot time */
+    unsigned shards;            /* 0: the number of shards depends on the size of the fleet */
+    unsigned idle_machine_allowance; /* idle machines that are kept for new tasks */
+    bool launch_gate;                /* true: an isolated controller launches no task */
     mv_launch_without_state launch_without_state;
     mv_launch_without_witness launch_without_witness;
 } mv_operator_settings;
@@ -74,30 +83,31 @@
     char node_name[MV_NAME_SIZE];
     char area[MV_NAME_SIZE];
     mv_endpoint listen, peer_endpoint, cloud, state_store;
-    mv_peer_settings *peers; /* owned, as all lists here */
+    mv_peer_settings *peers; /* owned, as are all lists in this structure */
     size_t peer_count;
-    unsigned controller_count; /* of the deployment, this one included */
-    double clock_offset_max_s; /* between the wall clocks of two machines */
+    unsigned controller_count; /* in the deployment, with this controller */
+    double clock_offset_max_s; /* largest difference between the wall clocks of two machines */
     mv_team_settings *teams;
     size_t team_count;
     mv_objective *objectives;
     size_t objective_count;
-    double report_s; /* interval of heartbeats */
-    double lease_s;  /* of agents: without a controller they stop their tasks after it */
-    double cancel_s; /* tasks of a cancelled job have to be gone within it */
-    double state_store_rps, state_store_write_rps, value_kb;
-    unsigned transaction_writes; /* in one transaction at most */
-    double cloud_rps;
-    double machine_list_lag_s; /* how old the cloud's list of machines may be */
-    unsigned max_connections;  /* sockets of this controller */
-    double ram_mb;             /* memory of this controller */
+    double report_s; /* interval between two heartbeats of an agent */
+    double lease_s;  /* an agent that reaches no controller for this time stops its tasks */
+    double cancel_s; /* the tasks of a cancelled job must have ended within this time */
+    double state_store_rps, state_store_write_rps; /* limits of the state service, per second */
+    double value_kb;                               /* largest value that the state service stores */
+    unsigned transaction_writes; /* most writes in one transaction of the state service */
+    double cloud_rps;            /* limit of requests per second to the cloud */
+    double machine_list_lag_s;   /* largest age of the cloud's list of machines */
+    unsigned max_connections;    /* most sockets of this controller */
+    double ram_mb;               /* memory of this controller, in megabytes */
     mv_operator_settings operator_settings;
 } mv_settings;
 
 /**
- * Loads and checks the platform's file and, unless `operator_path` is NULL, the operators'. The
- * caller frees the result with mv_settings_free. NULL on failure, with the first error in `*error`,
- * which the caller frees; on success `*error` is NULL.
+ * Loads and checks the platform's file and, unless `operator_path` is NULL, the operators' file.
+ * The caller frees the result with mv_settings_free. On success `*error` is NULL. On failure the
+ * result is NULL and `*error` holds the first error, which the caller frees.
  */
 mv_settings *mv_settings_load(const char *path, const char *operator_path,
                               mv_settings_error **error);
@@ -105,15 +115,19 @@
 /** Frees settings. NULL is allowed. */
 void mv_settings_free(mv_settings *settings);
 
-/** The team of this name, owned by the settings, or NULL. */
+/** Returns the team of this name, which the settings own, or NULL if there is no such team. */
 const mv_team_settings *mv_settings_find_team(const mv_settings *settings, const char *name);
 
-/** Seconds for which the owner of a shard may act after its last word from the state service. */
+/**
+ * Returns the length of a shard's lease in seconds: how long the shard's owner may act after its
+ * last contact with the state service.
+ */
 double mv_settings_shard_lease_s(const mv_settings *settings);
 
 /**
- * Seconds after which at the latest the tasks of a cancelled job are gone when their shard's owner
- * does not learn of the cancellation: the named terms of docs/SAFETY.md, "ran_cancelled", added up.
+ * Returns the longest time in seconds until the tasks of a cancelled job have ended if their
+ * shard's owner is not told of the cancellation. This is the sum of the terms that docs/SAFETY.md
+ * names under "ran_cancelled".
  */
 double mv_settings_cancel_bound_s(const mv_settings *settings);
 #endif
--- a/src/config/settings_error.c
+++ b/src/config/settings_error.c
@@ -1,4 +1,4 @@
-/** Why settings could not be used. */
+/** Errors in settings. */
 #include "config/settings_error.h"
 
 mv_settings_error *mv_settings_error_new(mv_settings_error_kind kind, const char *field,
--- a/src/config/settings_loader.c
+++ b/src/config/settings_loader.c
@@ -1,4 +1,4 @@
-/** Loading of the settings: the platform's file, then the operators'. */
+/** Loads the settings: first the platform's file, then the operators' file. */
 #include "config/settings.h"
 
 #include "config/operator_settings.h"
