--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -1,4 +1,4 @@
-/** The operators' own settings: the fields of their YAML file, checked. */
+/** Reads and checks the fields of the operators' YAML file. */
 #include "config/operator_settings.h"
 
 #include <cyaml/cyaml.h>
@@ -15,7 +15,7 @@
                                                            .shards = MV_SHARDS_DEFAULT,
                                                            .idle_machine_allowance = 0};
 
-/* --- the form of the file --- */
+/* --- schema of the file --- */
 
 static const cyaml_strval_t SWITCH_WORDS[] = {{"false", false}, {"true", true}};
 static const cyaml_strval_t WITHOUT_STATE_WORDS[] = {{"lease", MV_LAUNCH_WHILE_LEASED},
@@ -33,7 +33,8 @@
     CYAML_FIELD_UINT("shards", CYAML_FLAG_OPTIONAL, mv_operator_settings, shards),
     CYAML_FIELD_UINT("spare_machines", CYAML_FLAG_OPTIONAL, mv_operator_settings,
                      idle_machine_allowance),
-    /* As an enumeration: as a boolean the library takes any unknown word for true. */
+    /* launch_gate is an enumeration, because libcyaml reads any unknown word in a boolean field as
+     * true. */
     CYAML_FIELD_ENUM("launch_gate", CYAML_FLAG_OPTIONAL | CYAML_FLAG_STRICT, mv_operator_settings,
                      launch_gate, SWITCH_WORDS, G_N_ELEMENTS(SWITCH_WORDS)),
     CYAML_FIELD_ENUM("launch_without_state", CYAML_FLAG_OPTIONAL | CYAML_FLAG_STRICT,
@@ -47,7 +48,8 @@
 static const cyaml_schema_value_t SCHEMA = {
     CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, mv_operator_settings, FIELDS)};
 
-/* Keeps the first message of the library that is an error; the later ones only say where. */
+/* Called by libcyaml for each of its messages. Keeps the first error message only, because the
+ * later messages only give the position of the error. */
 static void keep_first_error(cyaml_log_t level, void *context, const char *format,
                              va_list arguments)
 {
@@ -56,8 +58,9 @@
         g_string_append_vprintf(text, format, arguments);
 }
 
-/* The file's fields, which the caller frees with cyaml_free; absent ones are 0. NULL with `*error`
- * on failure, and without it when the file has no fields at all. */
+/* Returns the fields of the file, in which an absent field is 0. The caller frees the result with
+ * cyaml_free and `config`. Returns NULL and sets `*error` on failure. Returns NULL and leaves
+ * `*error` unchanged if the file has no fields. */
 static mv_operator_settings *load_file(const char *path, cyaml_config_t *config,
                                        mv_settings_error **error)
 {
@@ -81,6 +84,8 @@
 
 /* --- checks --- */
 
+/* Copies a number to `out` unless the number is 0, which stands for an absent field. Returns an
+ * error if the number is not within [low, high]. */
 static mv_settings_error *read_number(const char *path, const char *name, double value, double low,
                                       double high, double *out)
 {
@@ -91,7 +96,7 @@
     if (value >= low && value <= high)
         return NULL;
     g_autofree char *field = g_strdup_printf("%s: %s", path, name);
-    g_autofree char *reason = g_strdup_printf("must lie between %g and %g", low, high);
+    g_autofree char *reason = g_strdup_printf("must be between %g and %g", low, high);
     return mv_settings_error_new(MV_SETTINGS_OUT_OF_RANGE, field, reason);
 }
 
@@ -113,7 +118,8 @@
     return error;
 }
 
-/* An absent field reads as 0, and 0 stands for the default wherever 0 itself makes no sense. */
+/* Copies the loaded fields to `out`. An absent field has the value 0. In a field for which 0 makes
+ * no sense, 0 keeps the default; in every other field, 0 is also the default. */
 static mv_settings_error *read_fields(const char *path, const mv_operator_settings *loaded,
                                       mv_operator_settings *out)
 {
@@ -121,8 +127,9 @@
     if (error)
         return error;
     if (loaded->shards > SHARDS_MAX || loaded->idle_machine_allowance > IDLE_MACHINE_ALLOWANCE_MAX)
-        return mv_settings_error_new(MV_SETTINGS_OUT_OF_RANGE, path,
-                                     "shards may be 1000 at most, spare_machines 10000");
+        return mv_settings_error_new(
+            MV_SETTINGS_OUT_OF_RANGE, path,
+            "shards must be at most 1000, and spare_machines at most 10000");
     if (loaded->shards)
         out->shards = loaded->shards;
     out->idle_machine_allowance = loaded->idle_machine_allowance;
--- a/src/config/platform_settings.c
+++ b/src/config/platform_settings.c
@@ -1,12 +1,14 @@
-/** The platform's settings: the fields of its TOML file, checked. */
+/** Reads and checks the fields of the platform's TOML file. */
 #include "config/platform_settings.h"
 
 #include <glib.h>
 #include <string.h>
 
 #define PATH_SIZE 80
-#define AMOUNT_MAX 1e9 /* more of anything is taken for an error */
-#define RATE_MAX 1e6   /* requests per second, kilobytes */
+/* A larger quota of a team, or a longer time of an objective, is rejected as a mistake. */
+#define AMOUNT_MAX 1e9
+/* Upper bound of requests per second, of kilobytes and of writes in a transaction. */
+#define RATE_MAX 1e6
 
 static void read_peers(mv_toml_reader *reader, mv_settings *settings)
 {
@@ -48,9 +50,10 @@
         read_team(reader, i, &settings->teams[i]);
     if (settings->team_count == 0)
         mv_toml_reader_fail(reader, MV_SETTINGS_MISSING, "settings.teams",
-                            "at least one team is needed");
+                            "must list at least one team");
 }
 
+/* Returns the kind of this name; a name that this version does not know is no error. */
 static mv_objective_kind objective_kind(const char *name)
 {
     static const char *const NAMES[] = {"deadline", "wait", "finished", "guarantee"};
@@ -88,18 +91,23 @@
     settings->lease_s = mv_toml_read_number(reader, "settings.workers.lease_s", 0.5, 86400);
     settings->cancel_s = mv_toml_read_number(reader, "settings.workers.cancel_s", 0.5, 86400);
     if (!reader->error && mv_settings_cancel_bound_s(settings) >= settings->cancel_s)
-        mv_toml_reader_fail(reader, MV_SETTINGS_INCONSISTENT, "settings.workers.cancel_s",
-                            "must exceed lease_s by over 4 s: cut off from a cancellation, a "
-                            "controller may act for its shard lease, and after that a worker for "
-                            "its own");
+        mv_toml_reader_fail(
+            reader, MV_SETTINGS_INCONSISTENT, "settings.workers.cancel_s",
+            "must exceed settings.workers.lease_s by more than 4 s plus clock drift: a "
+            "controller that does not learn of a cancellation may act until its "
+            "shard lease expires, and an agent may then act until the agent's own "
+            "lease expires");
 }
 
+/* Reduces a limit to the number at `path`, if that field is present and lower than the limit. */
 static void lower_limit(mv_toml_reader *reader, const char *path, double low, double *limit)
 {
     *limit = MIN(*limit, mv_toml_read_optional_number(reader, path, low, RATE_MAX, *limit));
 }
 
-/* A value that is no table has no fields, and would pass for limits that do not change. */
+/* Reports an error if settings.state.next is a number, a list or a string of less than 8 bytes.
+ * These values have no fields, so without this check the loader would accept the value and reduce
+ * no limit. */
 static void check_next_is_table(mv_toml_reader *reader)
 {
     static const char PATH[] = "settings.state.next";
@@ -109,11 +117,13 @@
     if (mv_toml_number(reader->document, PATH, &number) == MV_TOML_OK ||
         mv_toml_string(reader->document, PATH, text, sizeof text) == MV_TOML_OK ||
         mv_toml_count(reader->document, PATH, &length) == MV_TOML_OK)
-        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, PATH, "must be a table");
+        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, PATH,
+                            "must be a table with any of rps, write_rps, value_kb and txn_ops");
 }
 
-/* Limits that the state service will have from some moment on, without notice. They are observed
- * from the start, for a record that was written larger could not be written again. */
+/* Reads the limits that the state service will apply later, from a moment that is not announced.
+ * The controller observes these limits from its start, because a record that was written under the
+ * larger limits could not be written again under the smaller ones. */
 static void read_next_state_store_limits(mv_toml_reader *reader, mv_settings *settings)
 {
     double transaction_writes = settings->transaction_writes;
--- a/src/config/toml_bridge.cpp
+++ b/src/config/toml_bridge.cpp
@@ -1,4 +1,4 @@
-/** A small C interface to toml++. */
+/** A small C interface to toml++, a C++ parser for TOML. */
 #include "config/toml_bridge.h"
 
 #include <cstdio>
--- a/src/config/toml_reader.c
+++ b/src/config/toml_reader.c
@@ -1,4 +1,4 @@
-/** Reads checked fields from the platform's file. */
+/** Reads fields of the platform's file and checks each one. */
 #include "config/toml_reader.h"
 
 #include <math.h>
@@ -16,16 +16,21 @@
 {
     const mv_toml_status status = mv_toml_string(reader->document, path, out, size);
     if (status == MV_TOML_MISSING)
-        mv_toml_reader_fail(reader, MV_SETTINGS_MISSING, path, "missing");
+        mv_toml_reader_fail(reader, MV_SETTINGS_MISSING, path,
+                            "missing; must be a non-empty string");
     else if (status == MV_TOML_WRONG_TYPE || !*out)
-        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, path,
-                            "must be a text that is neither empty nor too long");
+        mv_toml_reader_fail(
+            reader, MV_SETTINGS_WRONG_TYPE, path,
+            "must be a non-empty string within the field's length limit; it is empty, too "
+            "long or not a string");
 }
 
 void mv_toml_read_optional_text(mv_toml_reader *reader, const char *path, char *out, size_t size)
 {
     if (mv_toml_string(reader->document, path, out, size) == MV_TOML_WRONG_TYPE)
-        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, path, "must be a text");
+        mv_toml_reader_fail(
+            reader, MV_SETTINGS_WRONG_TYPE, path,
+            "must be a string within the field's length limit; it is too long or not a string");
 }
 
 void mv_toml_read_endpoint(mv_toml_reader *reader, const char *path, mv_endpoint *out)
@@ -34,20 +39,22 @@
     mv_toml_read_text(reader, path, text, sizeof text);
     if (!reader->error && !mv_endpoint_parse(text, out))
         mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, path,
-                            "must be a numeric address and a port, as in 10.0.0.1:8080");
+                            "must be a numeric IPv4 address and a port, as in 10.0.0.1:8080");
 }
 
-/* Checks what was found in a field that is present; returns the value, or `low` for none. */
+/* Checks the value of a field that is present. Returns the value, or `low` if the field is not a
+ * finite number. */
 static double check_number(mv_toml_reader *reader, const char *path, mv_toml_status status,
                            double value, double low, double high)
 {
     if (status == MV_TOML_WRONG_TYPE || !isfinite(value)) {
-        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, path, "must be a number");
+        mv_toml_reader_fail(reader, MV_SETTINGS_WRONG_TYPE, path,
+                            "must be a finite number; it is not a number, or not finite");
         return low;
     }
     if (value < low || value > high) {
         g_autofree char *reason =
-            g_strdup_printf("must lie between %g and %g, not %g", low, high, value);
+            g_strdup_printf("must be between %g and %g, but is %g", low, high, value);
         mv_toml_reader_fail(reader, MV_SETTINGS_OUT_OF_RANGE, path, reason);
     }
     return value;
@@ -59,7 +66,7 @@
     const mv_toml_status status = mv_toml_number(reader->document, path, &value);
     if (status != MV_TOML_MISSING)
         return check_number(reader, path, status, value, low, high);
-    mv_toml_reader_fail(reader, MV_SETTINGS_MISSING, path, "missing");
+    mv_toml_reader_fail(reader, MV_SETTINGS_MISSING, path, "missing; must be a number");
     return low;
 }
 
