--- a/src/config/platform_settings.c
+++ b/src/config/platform_settings.c
@@ -100,7 +100,7 @@
 }
 
 /* Reduces a limit to the number at `path`, if that field is present and lower than the limit. */
-static void lower_limit(mv_toml_reader *reader, const char *path, double low, double *limit)
+static void reduce_limit(mv_toml_reader *reader, const char *path, double low, double *limit)
 {
     *limit = MIN(*limit, mv_toml_read_optional_number(reader, path, low, RATE_MAX, *limit));
 }
@@ -128,11 +128,11 @@
 {
     double transaction_writes = settings->transaction_writes;
     check_next_is_table(reader);
-    lower_limit(reader, "settings.state.next.rps", 1, &settings->state_store_rps);
-    lower_limit(reader, "settings.state.next.write_rps", 1, &settings->state_store_write_rps);
-    lower_limit(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
-    lower_limit(reader, "settings.state.next.txn_ops", MV_TRANSACTION_WRITES_MIN,
-                &transaction_writes);
+    reduce_limit(reader, "settings.state.next.rps", 1, &settings->state_store_rps);
+    reduce_limit(reader, "settings.state.next.write_rps", 1, &settings->state_store_write_rps);
+    reduce_limit(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
+    reduce_limit(reader, "settings.state.next.txn_ops", MV_TRANSACTION_WRITES_MIN,
+                 &transaction_writes);
     settings->transaction_writes = (unsigned)transaction_writes;
 }
 
