--- a/src/telemetry/log.c
+++ b/src/telemetry/log.c
@@ -17,17 +17,20 @@
 static mv_log_level configured_level = MV_LOG_INFO;
 static char node[MV_NAME_SIZE] = "-";
 
-/* When an event may be printed next, and how many were suppressed since it last was. */
+/* The time from which an event may be printed again, and how many times the event has been
+ * suppressed since it was last printed. */
 typedef struct {
     gint64 next_us;
     guint suppressed;
 } repeat_limit;
 
-/* Not a GMutex: GLib is not built with the thread sanitizer, which then takes what a GMutex guards
- * for a data race (the test "log", under that sanitizer). */
+/* This is a pthread mutex and not a GMutex, because GLib is not built with the thread sanitizer.
+ * The sanitizer therefore reports a data race on all data that a GMutex guards (seen in the test
+ * "log" under that sanitizer). */
 static pthread_mutex_t limits_lock = PTHREAD_MUTEX_INITIALIZER;
 static GHashTable *limits; /* event -> repeat_limit; guarded by limits_lock */
 
+/* Returns the level that corresponds to GLib's flags. */
 static mv_log_level level_of_flags(GLogLevelFlags flags)
 {
     if (flags & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING))
@@ -37,6 +40,7 @@
     return MV_LOG_DEBUG;
 }
 
+/* Returns the value of the field MESSAGE, or an empty text if there is no such field. */
 static const char *message_of_fields(const GLogField *fields, gsize count)
 {
     const char *message = "";
@@ -46,8 +50,9 @@
     return message;
 }
 
-/* Called by GLib for every message, ours and those of libraries. A line leaves in one write, so
- * that lines of threads do not mix; a line that is too long is cut. */
+/* GLib calls this for each message of the service and of its libraries. Writes each line in one
+ * call of write, so that lines of different threads do not mix. A line of LINE_SIZE bytes or more
+ * is truncated. */
 static GLogWriterOutput write_line(GLogLevelFlags flags, const GLogField *fields, gsize count,
                                    gpointer unused)
 {
@@ -88,6 +93,7 @@
     return configured_level;
 }
 
+/* Formats an event and passes it to GLib's log. */
 static void emit(mv_log_level level, const char *event, guint suppressed, const char *format,
                  va_list arguments)
 {
@@ -113,7 +119,8 @@
     va_end(arguments);
 }
 
-/* The limit of an event, which is made with its first use. Called with limits_lock. */
+/* Returns the repeat limit of an event, and creates the limit on the event's first use. The caller
+ * holds limits_lock. */
 static repeat_limit *limit_of_event(const char *event)
 {
     if (!limits)
@@ -121,12 +128,15 @@
     repeat_limit *limit = g_hash_table_lookup(limits, event);
     if (!limit) {
         limit = g_new0(repeat_limit, 1);
-        g_hash_table_insert(limits, (gpointer)event, limit); /* events are string literals */
+        g_hash_table_insert(limits, (gpointer)event,
+                            limit); /* no copy: events are string literals */
     }
     return limit;
 }
 
-/* Whether one more of this event may be printed now; `*suppressed` is then how many were not. */
+/* Returns whether the event may be printed now. If so, `*suppressed` is the number of times that
+ * the event was suppressed since it was last printed; otherwise this time is counted as suppressed.
+ */
 static bool may_print(const char *event, guint *suppressed)
 {
     const gint64 now_us = g_get_monotonic_time();
--- a/src/telemetry/metrics.c
+++ b/src/telemetry/metrics.c
@@ -4,13 +4,14 @@
 #include <gsl/gsl_histogram.h>
 #include <pthread.h>
 
-#define STATUS_CLASSES 6 /* no response, then 1xx to 5xx */
+#define STATUS_CLASSES 6 /* class 0: no response; classes 1 to 5: status 1xx to 5xx */
 
-/* Names of the metrics; part of the interface, in the order of mv_latency. */
+/* Values of the label "what", in the order of mv_latency. They are part of the interface. */
 static const char *const NAMES[MV_LATENCIES] = {"submit", "poll",    "abort", "report",
                                                 "txn",    "command", "cloud"};
 
-/* Bounds of the buckets in seconds: from well below one response to far beyond every timeout. */
+/* Bounds of the buckets in seconds. They range from well below the time of one response to far
+ * above every timeout. */
 static const double BOUNDS[] = {0,   0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
                                 0.1, 0.2,   0.5,   1,     2,    5,    3600};
 #define BUCKETS (G_N_ELEMENTS(BOUNDS) - 1)
@@ -44,7 +45,8 @@
     pthread_mutex_unlock(&lock);
 }
 
-/* Buckets are cumulative in this format. Called with the lock. */
+/* Prints one histogram. Each bucket also counts all smaller buckets, as the Prometheus text format
+ * requires. The caller holds the lock. */
 static void print_histogram(GString *out, const char *name, const gsl_histogram *histogram)
 {
     double count = 0;
@@ -56,7 +58,7 @@
     g_string_append_printf(out, "mulleinvalve_seconds_count{what=\"%s\"} %.0f\n", name, count);
 }
 
-/* Called with the lock. */
+/* Prints the response counters that are not 0. The caller holds the lock. */
 static void print_responses(GString *out, const char *name, const guint64 counts[STATUS_CLASSES])
 {
     for (int status_class = 0; status_class < STATUS_CLASSES; status_class++)
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -1,14 +1,15 @@
 /**
  * Latency histograms and response counters, printed for GET /metrics.
  *
- * Every function may be called from any thread, except mv_metrics_init. Latencies that are given
- * before it are dropped.
+ * All functions except mv_metrics_init may be called from any thread. Latencies that are recorded
+ * before mv_metrics_init are dropped.
  */
 #ifndef MV_METRICS_H
 #define MV_METRICS_H
 #include <glib.h>
 
-/** What is measured: requests to us, then requests of ours. */
+/** The kind of request: first the requests to this controller, then the requests that this
+ * controller sends. */
 typedef enum {
     MV_LATENCY_SUBMIT,
     MV_LATENCY_POLL,
@@ -17,18 +18,21 @@
     MV_LATENCY_TRANSACTION,
     MV_LATENCY_COMMAND,
     MV_LATENCY_CLOUD,
-    MV_LATENCIES /* their number */
+    MV_LATENCIES /* number of kinds */
 } mv_latency;
 
-/** Makes the histograms; to be called before other threads start. */
+/** Creates the histograms. Called before other threads start. */
 void mv_metrics_init(void);
 
-/** Counts one latency. */
+/** Adds the latency of one request to the histogram of its kind. */
 void mv_metrics_record_latency(mv_latency which, double seconds);
 
-/** Counts one response by the class of its HTTP status; 0: there was none. */
+/** Counts one response by the class of its HTTP status. Status 0 means that no response arrived. */
 void mv_metrics_record_status(mv_latency which, int status);
 
-/** All of them in the Prometheus text format; the caller appends what else it has, and frees. */
+/**
+ * Returns all histograms and counters in the Prometheus text format. The caller may append further
+ * metrics and frees the result.
+ */
 GString *mv_metrics_print(void);
 #endif
