--- a/src/transport/peer.h
+++ b/src/transport/peer.h
@@ -1,8 +1,8 @@
 /**
- * Messages between controllers: a request frame and a response frame for each.
+ * Messages between controllers. Each message is a request frame that gets a response frame.
  *
- * peer_server.h receives requests, peer_connection.h sends them, peer_frame.h has the form of a
- * frame.
+ * peer_server.h receives requests, peer_connection.h sends requests, and peer_frame.h defines the
+ * form of a frame.
  */
 #ifndef MV_PEER_H
 #define MV_PEER_H
--- a/src/transport/peer_connection.c
+++ b/src/transport/peer_connection.c
@@ -1,4 +1,4 @@
-/** The end of a peer connection that sends. */
+/** The sending end of a connection between two controllers. */
 #include "transport/peer_connection.h"
 
 #include "transport/peer_frame.h"
@@ -14,8 +14,8 @@
 
 struct mv_peer {
     struct sockaddr_in address;
-    pthread_mutex_t lock; /* held for a whole call; guards fd */
-    int fd;               /* or NOT_CONNECTED */
+    pthread_mutex_t lock; /* guards fd; held during a whole mv_peer_call */
+    int fd;               /* open socket, or NOT_CONNECTED */
 };
 
 mv_peer *mv_peer_new(const mv_endpoint *to)
@@ -43,7 +43,8 @@
     g_free(peer);
 }
 
-/* Connects a socket that does not block, and waits for it up to the timeout. */
+/* Connects a non-blocking socket and waits up to the timeout until the connection is established.
+ * Returns whether that succeeded. */
 static bool connect_socket(int fd, const struct sockaddr_in *address, unsigned timeout_ms)
 {
     if (connect(fd, (const struct sockaddr *)address, sizeof *address) == 0)
@@ -58,6 +59,7 @@
     return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &length) == 0 && error == 0;
 }
 
+/* Limits the time of each receive and of each send on the socket. */
 static void set_timeouts(int fd, unsigned timeout_ms)
 {
     const struct timeval limit = {.tv_sec = timeout_ms / 1000, .tv_usec = timeout_ms % 1000 * 1000};
@@ -65,6 +67,8 @@
     (void)setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
 }
 
+/* Opens a connection to the peer and stores its socket in `peer`. Returns false, and leaves the
+ * peer unconnected, on failure. The socket is non-blocking only while it connects. */
 static bool connect_with_timeout(mv_peer *peer, unsigned timeout_ms)
 {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -83,6 +87,7 @@
     return true;
 }
 
+/* Sends a frame on the open connection and returns the response, or NULL on failure or timeout. */
 static GBytes *exchange(const mv_peer *peer, const uint8_t *frame, size_t size, unsigned timeout_ms)
 {
     if (!mv_peer_frame_write(peer->fd, frame, size))
@@ -95,7 +100,8 @@
     return response ? g_bytes_new_take(response, response_size) : NULL;
 }
 
-/* One attempt on the open connection or on a new one, which stays open if it got a response. */
+/* Makes one attempt to send a request and receive the response, on the open connection or, if there
+ * is none, on a new connection. The connection stays open only if a response arrived. */
 static GBytes *attempt(mv_peer *peer, const uint8_t *frame, size_t size, unsigned timeout_ms)
 {
     if (peer->fd == NOT_CONNECTED && !connect_with_timeout(peer, timeout_ms))
@@ -111,7 +117,8 @@
     pthread_mutex_lock(&peer->lock);
     const bool was_connected = peer->fd != NOT_CONNECTED;
     GBytes *response = attempt(peer, frame, size, timeout_ms);
-    /* A connection from earlier may have ended with the peer's last process. */
+    /* A connection that an earlier call opened ends when the peer's process ends. The peer may have
+     * restarted since, so the request gets a second attempt on a new connection. */
     if (!response && was_connected)
         response = attempt(peer, frame, size, timeout_ms);
     pthread_mutex_unlock(&peer->lock);
--- a/src/transport/peer_connection.h
+++ b/src/transport/peer_connection.h
@@ -1,23 +1,26 @@
-/** The end of a peer connection that sends: one connection to one peer, kept open. */
+/** The sending end of a connection to one other controller. The connection is kept open. */
 #ifndef MV_PEER_CONNECTION_H
 #define MV_PEER_CONNECTION_H
 #include "config/endpoint.h"
 
 #include <glib.h>
 
-/** A connection to one peer; opaque. Thread-safe: calls wait for one another. */
+/** A connection to one peer; opaque. It may be used from any thread, for one call at a time:
+ * further calls wait. */
 typedef struct mv_peer mv_peer;
 
-/** Prepares the connection, which the first call opens. Free with mv_peer_free. */
+/** Creates the connection, which the first call opens. The caller frees it with mv_peer_free. */
 mv_peer *mv_peer_new(const mv_endpoint *to);
 
-/** Closes the connection. NULL is allowed; no call may be under way. */
+/** Closes and frees the connection. No call may be in flight. NULL is allowed. */
 void mv_peer_free(mv_peer *peer);
 
 /**
- * Sends a request frame and waits for the response, which the caller unrefs; NULL: none came.
- * `timeout_ms` is the limit of each step: to connect, to send and to receive. A request that fails
- * on a connection from earlier is sent once more on a new one, so it may arrive twice.
+ * Sends a request frame, waits for the response frame and returns that frame, which the caller
+ * unrefs. Returns NULL if no response arrived. `timeout_ms` limits each step separately:
+ * connecting, sending and receiving. If the request fails on a connection that an earlier call
+ * opened, the request is sent a second time on a new connection, so the peer may receive the
+ * request twice.
  */
 GBytes *mv_peer_call(mv_peer *peer, const uint8_t *frame, size_t size, unsigned timeout_ms);
 #endif
--- a/src/transport/peer_frame.c
+++ b/src/transport/peer_frame.c
@@ -1,4 +1,4 @@
-/** Frames on a connection between controllers, and what both ends do with their sockets. */
+/** Frames on a connection between controllers, and socket functions that both ends use. */
 #include "transport/peer_frame.h"
 
 #include "constants.h"
@@ -25,6 +25,7 @@
     return inet_pton(AF_INET, endpoint->host, &out->sin_addr) == 1;
 }
 
+/* Receives exactly `size` bytes. Returns false if the connection ends, fails or times out first. */
 static bool read_exactly(int fd, void *into, size_t size)
 {
     uint8_t *bytes = into;
@@ -40,6 +41,7 @@
     return true;
 }
 
+/* Sends exactly `size` bytes. Returns false if the connection fails or times out first. */
 static bool write_exactly(int fd, const uint8_t *bytes, size_t size)
 {
     while (size > 0) {
@@ -54,7 +56,7 @@
     return true;
 }
 
-/* Length and frame leave in one write, so that they do not make two packets. */
+/* Sends the length and the frame in one write, so that they do not travel in two packets. */
 bool mv_peer_frame_write(int fd, const uint8_t *frame, size_t size)
 {
     g_autofree uint8_t *buffer = g_malloc(LENGTH_BYTES + size);
--- a/src/transport/peer_server.c
+++ b/src/transport/peer_server.c
@@ -1,4 +1,4 @@
-/** The end of peer connections that receives. */
+/** The receiving end of connections between controllers. */
 #include "transport/peer_server.h"
 
 #include "constants.h"
@@ -19,16 +19,18 @@
     pthread_t acceptor;
     pthread_mutex_t lock; /* guards the fields below */
     pthread_cond_t connection_ended;
-    GList *connections; /* of peer_connection, each owned by its thread */
+    GList *connections; /* of peer_connection *, each owned by its connection's thread */
     bool stopping;
 };
 
+/* One accepted connection. */
 typedef struct {
     mv_peer_server *server;
     int fd;
 } peer_connection;
 
-/* Receives a request and sends the response; false: the connection is of no more use. */
+/* Receives one request, calls the handler and sends the response. Returns false if the connection
+ * must be closed. */
 static bool serve_request(const peer_connection *connection)
 {
     const mv_peer_server *server = connection->server;
@@ -44,6 +46,7 @@
     return mv_peer_frame_write(connection->fd, bytes, response_size);
 }
 
+/* Serves one connection until the connection ends, then closes the socket and frees the record. */
 static void *connection_thread(void *argument)
 {
     peer_connection *connection = argument;
@@ -59,7 +62,8 @@
     return NULL;
 }
 
-/* Serves an accepted socket on a thread of its own, or closes it. */
+/* Starts a thread that serves the accepted socket. Closes the socket if the server is stopping, if
+ * MV_PEER_CONNECTIONS_MAX connections are open or if no thread can be started. */
 static void start_connection(mv_peer_server *server, int fd)
 {
     peer_connection *connection = g_new0(peer_connection, 1);
@@ -86,6 +90,7 @@
     return stopping;
 }
 
+/* Accepts connections until the server stops. */
 static void *accept_thread(void *argument)
 {
     mv_peer_server *server = argument;
@@ -96,11 +101,11 @@
         else if (is_stopping(server))
             return NULL;
         else
-            g_usleep(ACCEPT_RETRY_US); /* no socket is free: after a while one may be */
+            g_usleep(ACCEPT_RETRY_US); /* the process has no free socket; one may become free */
     }
 }
 
-/* A listening socket; -1: the address cannot be bound. */
+/* Returns a socket that listens on the address, or -1 on failure. */
 static int listen_at(const mv_endpoint *at)
 {
     struct sockaddr_in address;
@@ -128,7 +133,7 @@
     server->context = context;
     pthread_mutex_init(&server->lock, NULL);
     pthread_cond_init(&server->connection_ended, NULL);
-    /* With the system's default stack: there is one such thread only. */
+    /* The acceptor keeps the system's default stack size, because there is only one acceptor. */
     if (pthread_create(&server->acceptor, NULL, accept_thread, server) == 0)
         return server;
     close(fd);
--- a/src/transport/peer_server.h
+++ b/src/transport/peer_server.h
@@ -1,7 +1,9 @@
 /**
- * The end of peer connections that receives: one thread accepts, each connection has its own.
+ * The receiving end of connections between controllers. One thread accepts connections, and each
+ * connection is served by a thread of its own.
  *
- * Up to MV_PEER_CONNECTIONS_MAX connections are served at once; one more is closed again.
+ * Up to MV_PEER_CONNECTIONS_MAX connections are served at the same time. The server closes each
+ * further connection as soon as it has accepted that connection.
  */
 #ifndef MV_PEER_SERVER_H
 #define MV_PEER_SERVER_H
@@ -13,14 +15,17 @@
 typedef struct mv_peer_server mv_peer_server;
 
 /**
- * Answers one request frame, which is borrowed. The response goes to the server; NULL ends the
- * connection. Called on many threads at once.
+ * Answers one request frame, which is borrowed. Returns the response, which the server unrefs, or
+ * NULL to close the connection. Several threads may call the handler at the same time.
  */
 typedef GBytes *(*mv_peer_handler)(void *context, const uint8_t *frame, size_t size);
 
-/** Listens and serves from now on; NULL when the address cannot be bound. `context` is borrowed. */
+/**
+ * Starts a server that listens on the address. Returns NULL if the address cannot be bound or the
+ * acceptor thread cannot be started. `context` is borrowed and is passed to `handler`.
+ */
 mv_peer_server *mv_peer_server_start(const mv_endpoint *at, mv_peer_handler handler, void *context);
 
-/** Ends all connections, waits for their threads and frees the server. NULL is allowed. */
+/** Closes all connections, waits for their threads and frees the server. NULL is allowed. */
 void mv_peer_server_free(mv_peer_server *server);
 #endif
--- a/src/transport/threads.c
+++ b/src/transport/threads.c
@@ -1,4 +1,4 @@
-/** Start of threads with the small stack of this service. */
+/** Starts threads with a small stack. */
 #include "transport/threads.h"
 
 #include "constants.h"
