--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -37,8 +37,8 @@
 
 double mv_settings_cancel_bound_s(const mv_settings *settings)
 {
-    /* The owner shortens its lease by the possible drift of its clock, so the lease does not last
-     * longer than this. */
+    /* The owner shortens its lease by the possible drift of its clock, so the lease lasts no longer
+     * than mv_settings_shard_lease_s. */
     const double owner_lease_s = mv_settings_shard_lease_s(settings);
     const double agent_lease_s = settings->lease_s * (1 + MV_CLOCK_DRIFT);
     /* MV_AGENT_KILL_S covers the longest time between an agent's check of its clock and the kill of
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -42,7 +42,7 @@
 typedef struct {
     mv_objective_kind kind;
     char kind_name[32];            /* the kind as the file writes it */
-    char class_name[MV_NAME_SIZE]; /* class of jobs to which it applies; empty: all jobs */
+    char class_name[MV_NAME_SIZE]; /* the objective applies to jobs of this class; empty: all */
     double within_s, target_share;
 } mv_objective;
 
@@ -72,7 +72,7 @@
     double idle_timeout_s;      /* an idle machine is scaled in after this time */
     double boot_timeout_factor; /* boot timeout as a multiple of the nominal boot time */
     unsigned shards;            /* 0: the number of shards depends on the size of the fleet */
-    unsigned idle_machine_allowance; /* idle machines that are kept for new tasks */
+    unsigned idle_machine_allowance; /* idle machines of a shard that are not scaled in */
     bool launch_gate;                /* true: an isolated controller launches no task */
     mv_launch_without_state launch_without_state;
     mv_launch_without_witness launch_without_witness;
--- a/src/telemetry/log.c
+++ b/src/telemetry/log.c
@@ -13,7 +13,7 @@
 
 static const char *const LEVEL_NAMES[] = {"error", "info", "debug"};
 
-/* Set by mv_log_init before other threads start, and not changed afterwards. */
+/* mv_log_init sets these variables before other threads start. They do not change afterwards. */
 static mv_log_level configured_level = MV_LOG_INFO;
 static char node[MV_NAME_SIZE] = "-";
 
--- a/src/transport/peer_server.c
+++ b/src/transport/peer_server.c
@@ -101,7 +101,8 @@
         else if (is_stopping(server))
             return NULL;
         else
-            g_usleep(ACCEPT_RETRY_US); /* the process has no free socket; one may become free */
+            g_usleep(
+                ACCEPT_RETRY_US); /* the process has no free socket; a socket may become free */
     }
 }
 
