--- a/fault_injection/history.c
+++ b/fault_injection/history.c
@@ -1,5 +1,6 @@
 /**
- * The history of a run.
+ * Implementation of the history: an array of events behind a mutex, and a text file to which each
+ * event is appended.
  */
 #include "history.h"
 
@@ -7,14 +8,14 @@
 #include <stdio.h>
 
 struct mv_history {
-    pthread_mutex_t lock; /* guards events and file */
-    GArray *events;       /* mv_event */
-    FILE *file;           /* NULL: in memory alone */
-    gint64 began_us;
+    pthread_mutex_t lock; /* guards `events` and `file` */
+    GArray *events;       /* elements are mv_event */
+    FILE *file;           /* NULL if the history is held in memory only */
+    gint64 began_us;      /* monotonic time at which the history was opened */
 };
 
-/* The words of the file, which stay as they are: recorded histories are read by people and scripts.
- */
+/* The names of the event kinds in the history file. They must not change, because people and
+ * scripts read recorded histories. */
 static const char *const KIND_NAMES[MV_EVENT_KINDS] = {
     "accepted", "started", "done", "gone", "recorded", "answered", "unknown", "trouble"};
 
@@ -52,7 +53,8 @@
     return text[0] ? text : "-";
 }
 
-/* Flushed each time: the file has to be complete when the program is killed. */
+/* Appends one event to the file and flushes the file, so that the file is complete even if the
+ * program is killed. */
 static void write_event(FILE *file, const mv_event *event)
 {
     fprintf(file, "%.3f %s who=%s job=%s task=%u attempt=%lu token=%lu %s\n", event->at,
--- a/fault_injection/history_checker.c
+++ b/fault_injection/history_checker.c
@@ -1,5 +1,5 @@
 /**
- * The history checker: one pass over the events, then one over the jobs.
+ * The history checker. It checks the events one by one in their order, and then each job.
  */
 #include "history_checker.h"
 
@@ -9,16 +9,16 @@
 
 typedef struct {
     bool accepted;
-    unsigned records;        /* final records written */
-    char recorded[16];       /* state of the last one; "": none */
-    char final_response[16]; /* state that a user got as the final one; "": none yet */
+    unsigned records;        /* number of final records that controllers wrote for the job */
+    char recorded[16];       /* state in the latest final record; "" if there is none */
+    char final_response[16]; /* final state that a user received; "" if there is none yet */
 } job_history;
 
 typedef struct {
     mv_check_result *result;
-    GHashTable *jobs;       /* id -> job_history */
-    GHashTable *running_on; /* "job/task" -> id of the machine it runs on */
-    GHashTable *completed;  /* "job/task" */
+    GHashTable *jobs;       /* job id -> job_history */
+    GHashTable *running_on; /* "job/task" -> id of the machine on which the task runs */
+    GHashTable *completed;  /* set of "job/task" for tasks that completed at least one time */
 } history_check;
 
 static void add_violation(history_check *check, const mv_event *event, const char *rule)
--- a/fault_injection/history_checker.h
+++ b/fault_injection/history_checker.h
@@ -1,28 +1,36 @@
 /**
- * Checks a history against the rules of the service. Pure, so that a recorded history can be
- * checked again.
+ * Checks the history of a run against the consistency rules of the service. The check reads only
+ * the events that the caller passes, so a recorded history can be checked again later.
  *
- * Rules: a task runs on one machine at a time; a job has one final record; the final state that
- * users get is the recorded one and never changes; an accepted job stays known; in a complete run
- * every accepted job has a final record.
+ * The rules and the names under which a violation is reported:
+ * - A task runs on at most one machine at a time (ran_twice).
+ * - Controllers write at most one final record for a job (recorded_twice).
+ * - The final state that a user receives never changes (went_back).
+ * - The final state that a user receives is the recorded state (answer_without_record).
+ * - The service never forgets an accepted job (forgotten).
+ * - In a complete run, every accepted job has a final record.
  */
 #ifndef MV_HISTORY_CHECKER_H
 #define MV_HISTORY_CHECKER_H
 #include "history.h"
 
-/** Counts and violations. */
+/** The result of a check: counts of jobs and task starts, and the violations found. */
 typedef struct {
-    unsigned jobs, done, cancelled, unfinished; /**< jobs: accepted ones */
-    unsigned starts;                            /**< of tasks */
-    unsigned repeated_starts;                   /**< of those, of tasks that had completed before */
-    GPtrArray *violations; /**< char *, in the order in which rules were broken; owned */
+    unsigned jobs;            /**< accepted jobs; the next three fields count among them */
+    unsigned done;            /**< jobs whose latest final record says that they completed */
+    unsigned cancelled;       /**< jobs whose latest final record says that they were cancelled */
+    unsigned unfinished;      /**< jobs without a final record */
+    unsigned starts;          /**< starts of tasks on machines */
+    unsigned repeated_starts; /**< starts of tasks that had already completed before */
+    GPtrArray *violations;    /**< char *, one line each, in the order of detection; owned */
 } mv_check_result;
 
-/** Checks mv_event elements. `complete`: the run was played to its end, so every accepted job must
- * have its final record. The caller frees the result with mv_check_result_free. */
+/** Checks an array of mv_event. If `complete` is set, the run went on until every job had a final
+ * state, so each accepted job without a final record is a violation. The caller frees the result
+ * with mv_check_result_free. */
 mv_check_result *mv_history_check(const GArray *events, bool complete);
 
-/** Frees a result; NULL is allowed. */
+/** Frees the result of a check; NULL is allowed. */
 void mv_check_result_free(mv_check_result *result);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(mv_check_result, mv_check_result_free)
 #endif
