--- a/fault_injection/history.h
+++ b/fault_injection/history.h
@@ -16,13 +16,13 @@
 
 /** The kinds of events. */
 typedef enum {
-    MV_EVENT_ACCEPTED,  /**< a controller told a user that the job is accepted */
+    MV_EVENT_ACCEPTED,  /**< a user received the response that the job is accepted */
     MV_EVENT_STARTED,   /**< a task started on a machine */
     MV_EVENT_DONE,      /**< a task completed on a machine */
     MV_EVENT_LOST,      /**< a task exited or vanished from a machine without completing */
     MV_EVENT_RECORDED,  /**< a controller wrote a final record; `text` is the recorded state */
-    MV_EVENT_RESPONDED, /**< a user received `text` as the final state of the job */
-    MV_EVENT_UNKNOWN,   /**< a controller told a user that the job is unknown */
+    MV_EVENT_RESPONDED, /**< a user received `text` as the state of the job */
+    MV_EVENT_UNKNOWN,   /**< a user received the response that the job is unknown */
     MV_EVENT_FAULT,     /**< the runner began or ended a fault of the script; `text` describes it */
     MV_EVENT_KINDS      /**< the number of kinds */
 } mv_event_kind;
--- a/fault_injection/history_checker.h
+++ b/fault_injection/history_checker.h
@@ -17,8 +17,8 @@
 /** The result of a check: counts of jobs and task starts, and the violations found. */
 typedef struct {
     unsigned jobs;            /**< accepted jobs; the next three fields count among them */
-    unsigned done;            /**< jobs whose latest final record says that they completed */
-    unsigned cancelled;       /**< jobs whose latest final record says that they were cancelled */
+    unsigned done;            /**< jobs whose latest final record has the state WIRE_DONE */
+    unsigned cancelled;       /**< jobs whose latest final record has the state WIRE_CANCELLED */
     unsigned unfinished;      /**< jobs without a final record */
     unsigned starts;          /**< starts of tasks on machines */
     unsigned repeated_starts; /**< starts of tasks that had already completed before */
--- a/fault_injection/scenario.c
+++ b/fault_injection/scenario.c
@@ -1,5 +1,6 @@
 /**
- * Scenario files: schema, bounds, loading.
+ * Loads scenario files with libcyaml: their schema, the bounds of their numbers, and error
+ * messages.
  */
 #include "scenario.h"
 
@@ -15,7 +16,7 @@
 
 G_DEFINE_QUARK(mv - scenario - error - quark, mv_scenario_error)
 
-/* --- schema; the words of the file stay as they are --- */
+/* --- schema; the keys and values of scenario files must not change --- */
 
 static const cyaml_strval_t TARGETS[] = {{"state", MV_FAULT_STATE_LINK},
                                          {"peers", MV_FAULT_PEER_LINKS},
@@ -27,7 +28,8 @@
                                        {"answers", MV_FAULT_DROP_RESPONSES},
                                        {"refused", MV_FAULT_REFUSE},
                                        {"slow", MV_FAULT_DELAY}};
-/* libcyaml takes any unknown word for a true boolean; an enum rejects it. */
+/* libcyaml reads any unknown word in a boolean field as true. The schema declares booleans as an
+ * enum instead, so that libcyaml rejects unknown words. */
 static const cyaml_strval_t BOOLEANS[] = {{"false", 0}, {"true", 1}};
 
 static const cyaml_schema_field_t FAULT_FIELDS[] = {
@@ -119,7 +121,8 @@
 
 /* --- loading --- */
 
-/* The library says what is wrong first, then where: field by field, each with its line. */
+/* Log function for libcyaml: appends each error message to a GString. libcyaml logs first the
+ * error itself and then its location, one message with a line number for each enclosing field. */
 static void collect_messages(cyaml_log_t level, void *context, const char *format, va_list args)
 {
     GString *messages = context;
--- a/fault_injection/scenario.h
+++ b/fault_injection/scenario.h
@@ -1,6 +1,6 @@
 /**
- * A scenario of a fault injection run, as its YAML file has it. Pure but for the reading of the
- * file.
+ * The scenario of a fault injection run, with the fields of its YAML file. The module has no side
+ * effects except that mv_scenario_load reads the file.
  */
 #ifndef MV_SCENARIO_H
 #define MV_SCENARIO_H
@@ -8,71 +8,73 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a fault is injected into. */
+/** The kinds of targets into which a fault is injected. */
 typedef enum {
     MV_FAULT_STATE_LINK,     /**< the link from a controller to the state service */
-    MV_FAULT_PEER_LINKS,     /**< the links from a controller to the others */
+    MV_FAULT_PEER_LINKS,     /**< the links from a controller to all other controllers */
     MV_FAULT_HEARTBEAT_LINK, /**< the link from the machines to a controller */
     MV_FAULT_COMMAND_LINK,   /**< the link on which commands reach a machine */
-    MV_FAULT_CONTROLLER,     /**< a controller is killed, and started again at the end */
-    MV_FAULT_TARGETS
+    MV_FAULT_CONTROLLER, /**< a controller: killed when the fault begins, restarted at its end */
+    MV_FAULT_TARGETS     /**< the number of targets */
 } mv_fault_target;
 
-/** How a link fails. */
+/** The ways in which a link fails. The client is the process that opens the connection. */
 typedef enum {
-    MV_FAULT_DROP_BOTH,
-    MV_FAULT_DROP_REQUESTS,  /**< only what the side that connects sends is lost */
-    MV_FAULT_DROP_RESPONSES, /**< only what it receives */
-    MV_FAULT_REFUSE,         /**< connections are refused */
-    MV_FAULT_DELAY,          /**< everything arrives, later */
-    MV_FAULT_MODES
+    MV_FAULT_DROP_BOTH,      /**< the link drops the data of both directions */
+    MV_FAULT_DROP_REQUESTS,  /**< the link drops only the data that the client sends */
+    MV_FAULT_DROP_RESPONSES, /**< the link drops only the data sent to the client */
+    MV_FAULT_REFUSE,         /**< the link refuses new connections */
+    MV_FAULT_DELAY,          /**< the link delivers all data after a delay */
+    MV_FAULT_MODES           /**< the number of modes */
 } mv_fault_mode;
 
-/** Faults of one kind, one after another. */
+/** A series of faults of one kind. The faults begin one after another and may overlap. */
 typedef struct {
     mv_fault_target target;
     mv_fault_mode mode;
-    unsigned interval_ms;    /**< from one begin to the next, by half more or less */
-    unsigned min_ms, max_ms; /**< how long one lasts */
-    unsigned delay_ms;       /**< of MV_FAULT_DELAY */
+    unsigned interval_ms; /**< mean time between the begins of two faults; varies by up to half */
+    unsigned min_ms;      /**< shortest duration of a fault */
+    unsigned max_ms;      /**< longest duration of a fault */
+    unsigned delay_ms;    /**< delay in each direction, for MV_FAULT_DELAY */
 } mv_scenario_fault;
 
-/** A scenario. */
+/** A scenario: the size of the cluster, the jobs that users submit, and the faults. */
 typedef struct {
     unsigned controllers, machines;
-    unsigned seconds;        /**< of faults; then every job has to end */
-    unsigned launch_gate;    /**< 1: on */
-    unsigned jobs;           /**< submitted within these seconds */
-    unsigned max_tasks;      /**< of a job */
-    unsigned run_ms;         /**< of a task */
-    unsigned cancel_percent; /**< of the jobs */
+    unsigned seconds;        /**< duration of faults and submissions; then every job has to end */
+    unsigned launch_gate;    /**< 1: the controllers run with the setting `launch_gate: true` */
+    unsigned jobs;           /**< number of jobs that users submit within `seconds` */
+    unsigned max_tasks;      /**< largest number of tasks of a job */
+    unsigned run_ms;         /**< runtime of each task */
+    unsigned cancel_percent; /**< percentage of the jobs that users cancel */
     mv_scenario_fault *faults;
     unsigned fault_count;
 } mv_scenario;
 
-/** Why a scenario could not be loaded; the message names the file and the field. */
+/** Reasons why a scenario cannot be loaded. The error message names the file and the field. */
 typedef enum {
-    MV_SCENARIO_ERROR_FILE,  /**< not readable, or not by the schema; with the line where there is
-                                one */
+    MV_SCENARIO_ERROR_FILE,  /**< the file is unreadable or violates the schema; the message has
+                                the line number if libcyaml gives one */
     MV_SCENARIO_ERROR_RANGE, /**< a number is out of its range */
 } mv_scenario_error;
 
-/** The error domain of mv_scenario_load. */
+/** The GError domain of the errors that mv_scenario_load sets. */
 #define MV_SCENARIO_ERROR (mv_scenario_error_quark())
 
-/** The quark of MV_SCENARIO_ERROR. */
+/** Returns the quark of MV_SCENARIO_ERROR. */
 GQuark mv_scenario_error_quark(void);
 
-/** Loads a scenario, which the caller frees with mv_scenario_free. NULL: failed, `error` is set. */
+/** Loads a scenario from a YAML file. The caller frees the scenario with mv_scenario_free. Returns
+ * NULL and sets `error` if the file cannot be loaded. */
 mv_scenario *mv_scenario_load(const char *path, GError **error);
 
-/** Frees a loaded scenario. */
+/** Frees a scenario that mv_scenario_load returned. */
 void mv_scenario_free(mv_scenario *scenario);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(mv_scenario, mv_scenario_free)
 
-/** The word for a target in scenario files and scripts; static text. */
+/** Returns the name of a target in scenario files and scripts, as a static string. */
 const char *mv_fault_target_name(mv_fault_target target);
 
-/** The word for a mode in scenario files and scripts; static text. */
+/** Returns the name of a mode in scenario files and scripts, as a static string. */
 const char *mv_fault_mode_name(mv_fault_mode mode);
 #endif
--- a/fault_injection/scenario_runner.c
+++ b/fault_injection/scenario_runner.c
@@ -1,6 +1,7 @@
 /**
- * The scenario runner: sets up environment, controllers and links, injects the faults of the script
- * while users submit its jobs, and takes everything down.
+ * The scenario runner. It starts the environment, the controllers and the links between them,
+ * injects the faults of the script while the simulated users submit the script's jobs, and then
+ * stops everything.
  */
 #include "scenario_runner.h"
 
@@ -14,19 +15,19 @@
 #include <stdio.h>
 
 #define FINISH_POLL_MS 100
-#define HEARTBEAT_S 0.6 /* in the controllers' settings, as the next three */
-#define LEASE_S 6.0
-#define CANCEL_S 30.0
-#define STATE_RPS 500.0
-#define MACHINE_HEARTBEAT_MS 200 /* between two heartbeats of a machine */
+#define HEARTBEAT_S 0.6 /* settings.workers.report_s of the controllers */
+#define LEASE_S 6.0     /* settings.workers.lease_s of the controllers; also the machines' lease */
+#define CANCEL_S 30.0   /* settings.workers.cancel_s of the controllers */
+#define STATE_RPS 500.0 /* settings.state.rps of the controllers */
+#define MACHINE_HEARTBEAT_MS 200 /* pause of a simulated machine between two heartbeats */
 
 G_DEFINE_QUARK(mv - scenario - run - error - quark, mv_scenario_run_error)
 
 typedef struct {
     const mv_scenario *scenario;
     const mv_scenario_run_options *options;
-    char *operator_file; /* NULL: none */
-    GArray *steps;       /* mv_step */
+    char *operator_file; /* path of the operator settings; NULL if the scenario needs none */
+    GArray *steps;       /* elements are mv_step, ordered by time */
     mv_history *history;
     mv_environment *environment;
     mv_controller_cluster *cluster;
@@ -46,8 +47,9 @@
                            .delay_ms = step->mode == MV_FAULT_DELAY ? step->delay_ms : 0};
 }
 
-/* At the end it is started again. It is killed then too: two faults of one controller may overlap.
- */
+/* Kills a controller when its fault begins and starts the controller again when the fault ends.
+ * Faults of one controller can overlap, so the controller may already run again when a fault ends:
+ * the runner kills it then too, before the start. Returns false if the start fails. */
 static bool kill_or_restart(scenario_run *run, const mv_step *step)
 {
     mv_cluster_kill_node(run->cluster, step->target_index);
@@ -93,13 +95,14 @@
         g_usleep((gulong)(remaining_s * G_USEC_PER_SEC));
 }
 
-/* False: a controller could not be started again. */
+/* Begins and ends all faults of the script at their times. Returns false as soon as a controller
+ * cannot be started again. */
 static bool inject_faults(scenario_run *run)
 {
     for (guint i = 0; i < run->steps->len; i++) {
         const mv_step *step = &g_array_index(run->steps, mv_step, i);
         if (step->kind == MV_STEP_SUBMIT || step->kind == MV_STEP_CANCEL)
-            continue; /* the users' */
+            continue; /* the threads of the simulated users perform these steps */
         wait_until(run, step->at);
         record_fault(run, step);
         if (!inject_fault(run, step))
@@ -215,7 +218,7 @@
                                    run->cluster->count);
 }
 
-/* Controllers first: what they use must not go before them. */
+/* Stops the controllers first, because they use the environment and the links until they end. */
 static void take_down(scenario_run *run)
 {
     for (unsigned i = 0; i < run->cluster->count; i++)
--- a/fault_injection/scenario_runner.h
+++ b/fault_injection/scenario_runner.h
@@ -1,46 +1,48 @@
 /**
- * Runs a scenario against real processes of the service, and returns what happened.
+ * Runs a scenario against real controller processes and returns the history of the run.
  */
 #ifndef MV_SCENARIO_RUNNER_H
 #define MV_SCENARIO_RUNNER_H
 #include "history.h"
 #include "scenario.h"
 
-/** After the last fault, seconds for all jobs to end, however slow the machine. */
+/** Longest time, in seconds, that the runner waits for all jobs to reach a final state after the
+ * scenario's `seconds` are over. The limit is wide so that it also suffices on a slow computer. */
 #define MV_SCENARIO_END_S 180
 
-/** How to run; the texts must outlive the call. */
+/** Options of a run. The strings must stay valid during mv_scenario_run. */
 typedef struct {
-    const char *program;   /**< the service */
-    const char *directory; /**< of settings, logs and the history; must exist */
-    bool quiet;            /**< no line for each step */
+    const char *program;   /**< path of the service's executable */
+    const char *directory; /**< existing directory for settings, logs and the history file */
+    bool quiet;            /**< true: do not print a line for each fault that begins or ends */
 } mv_scenario_run_options;
 
-/** What happened. */
+/** The result of a run. */
 typedef struct {
-    GArray *events; /**< mv_event; owned */
-    bool complete;  /**< every job had a final state within MV_SCENARIO_END_S */
+    GArray *events; /**< the history, elements are mv_event; owned */
+    bool complete;  /**< users received a final state of every job within MV_SCENARIO_END_S */
 } mv_scenario_run_result;
 
-/** Why a run failed; the message names the file. */
+/** Reasons why a run fails. The error message names the file concerned. */
 typedef enum {
-    MV_SCENARIO_RUN_ERROR_HISTORY, /**< the history cannot be written */
+    MV_SCENARIO_RUN_ERROR_HISTORY, /**< the history file cannot be written */
     MV_SCENARIO_RUN_ERROR_START,   /**< a controller cannot be configured or started */
 } mv_scenario_run_error;
 
-/** The error domain of mv_scenario_run. */
+/** The GError domain of the errors that mv_scenario_run sets. */
 #define MV_SCENARIO_RUN_ERROR (mv_scenario_run_error_quark())
 
-/** The quark of MV_SCENARIO_RUN_ERROR. */
+/** Returns the quark of MV_SCENARIO_RUN_ERROR. */
 GQuark mv_scenario_run_error_quark(void);
 
-/** Runs the scenario's script for `seed` to its end, minutes at most; all processes and threads
- * that it starts have ended when it returns. The caller frees the result; NULL: failed, `error` is
- * set. SIGPIPE must be ignored. */
+/** Runs the script that the scenario and `seed` generate, and blocks until the run is over, which
+ * takes the scenario's `seconds` and up to MV_SCENARIO_END_S. All processes and threads of the run
+ * have ended when the function returns. The caller must ignore SIGPIPE, and frees the result with
+ * mv_scenario_run_result_free. Returns NULL and sets `error` if the run fails. */
 mv_scenario_run_result *mv_scenario_run(const mv_scenario *scenario, uint32_t seed,
                                         const mv_scenario_run_options *options, GError **error);
 
-/** Frees a result; NULL is allowed. */
+/** Frees the result of a run; NULL is allowed. */
 void mv_scenario_run_result_free(mv_scenario_run_result *result);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(mv_scenario_run_result, mv_scenario_run_result_free)
 #endif
--- a/fault_injection/script.c
+++ b/fault_injection/script.c
@@ -1,11 +1,11 @@
 /**
- * Generation of scripts. The order in which random numbers are drawn is part of the format: another
- * order gives other scripts for the same seeds.
+ * Generates scripts. The order of the calls to the random number generator must not change, because
+ * a different order gives a different script for the same seed.
  */
 #include "script.h"
 
-#define WARM_UP_S 3.0        /* without faults: controllers start and acquire their shards */
-#define CANCEL_DELAY_S_MAX 5 /* from a submission to its cancellation */
+#define WARM_UP_S 3.0 /* no faults before this time: the controllers start and acquire shards */
+#define CANCEL_DELAY_S_MAX 5 /* longest time from a job's submission to its cancellation */
 
 static gint compare_steps(gconstpointer left, gconstpointer right)
 {
--- a/fault_injection/script.h
+++ b/fault_injection/script.h
@@ -1,12 +1,13 @@
 /**
- * The script of a run: what is submitted, cancelled and broken at which time, generated from a
- * scenario and a seed. Pure: the same scenario and seed give the same script, on every machine.
+ * The script of a run: a list of steps, each with its time. A step submits a job, cancels a job, or
+ * begins or ends a fault. The script is a pure function of scenario and seed: the same scenario and
+ * seed give the same script on every computer.
  */
 #ifndef MV_SCRIPT_H
 #define MV_SCRIPT_H
 #include "scenario.h"
 
-/** Kinds of steps. */
+/** The kinds of steps. */
 typedef enum {
     MV_STEP_SUBMIT,
     MV_STEP_CANCEL,
@@ -18,16 +19,18 @@
 typedef struct {
     double at; /**< seconds since the run began */
     mv_step_kind kind;
-    unsigned target_index; /**< number of the job, controller or machine */
-    unsigned tasks;        /**< of a job that is submitted */
-    mv_fault_target target;
-    mv_fault_mode mode;
-    unsigned delay_ms;
+    unsigned target_index;  /**< number of the job, controller or machine that the step affects */
+    unsigned tasks;         /**< number of tasks, for MV_STEP_SUBMIT */
+    mv_fault_target target; /**< for a fault: the kind of link, or a controller */
+    mv_fault_mode mode;     /**< for a fault of a link: how the link fails */
+    unsigned delay_ms;      /**< for MV_FAULT_DELAY: the delay in each direction */
 } mv_step;
 
-/** All steps in the order of their time, mv_step; the caller frees the array. */
+/** Generates the steps of a run, as an array of mv_step ordered by time. The caller frees the
+ * array.
+ */
 GArray *mv_script_generate(const mv_scenario *scenario, uint32_t seed);
 
-/** One line that says what a step does; the caller frees it. */
+/** Returns a one-line description of a step, which the caller frees. */
 char *mv_step_describe(const mv_step *step);
 #endif
