--- a/fault_injection/fake_cloud.h
+++ b/fault_injection/fake_cloud.h
@@ -1,5 +1,6 @@
 /**
- * Machine types as a cloud lists them, for the simulation of tests/ and the server on loopback.
+ * The list of machine types that the fake cloud offers. The simulation in tests/ and the fake cloud
+ * server on loopback use the same list.
  */
 #ifndef MV_FAKE_CLOUD_H
 #define MV_FAKE_CLOUD_H
@@ -7,12 +8,14 @@
 
 #include <glib.h>
 
-/** An empty list of mv_machine_type, for mv_controller_types_listed; the caller frees it. */
+/** Returns an empty list of mv_machine_type, in the form that mv_controller_types_listed takes. The
+ * caller frees the list. */
 GArray *fake_types_new(void);
 
-/** Adds a type of that name which is available in zone "z" alone. */
+/** Adds a copy of `type` with the given name to the list. The copy is available in zone "z" only.
+ */
 void fake_types_add(GArray *types, const char *name, mv_machine_type type);
 
-/** Makes every type of the list available in zone "y" too. */
+/** Makes every type of the list available in zone "y" in addition to zone "z". */
 void fake_types_add_zone(GArray *types);
 #endif
--- a/fault_injection/fake_state_store.c
+++ b/fault_injection/fake_state_store.c
@@ -4,10 +4,11 @@
 
 #include <string.h>
 
-/* What the published protocol answers, as HTTP statuses. */
+/* The HTTP statuses that fake_state_store_commit returns. */
 enum { STATUS_OK = 200, STATUS_BAD_REQUEST = 400, STATUS_CONFLICT = 409, STATUS_TOO_LARGE = 413 };
 
-#define PRECONDITIONS_PER_WRITE 4 /* allowed for each write that a transaction may have */
+/* A transaction may have this many preconditions for each write that the limit allows. */
+#define PRECONDITIONS_PER_WRITE 4
 
 static void free_record(gpointer data)
 {
@@ -44,7 +45,8 @@
     return record;
 }
 
-/* Deletes the record if `data` is NULL. */
+/* Writes a record and appends the change to the log. If `data` is NULL, the function deletes the
+ * record instead; the deletion of a missing record changes nothing. */
 static void write_record(fake_state_store *store, const char *key, GBytes *data, uint64_t lease_id)
 {
     if (!data && !g_hash_table_contains(store->records, key))
@@ -100,7 +102,7 @@
         const fake_record *record = link->data;
         if (record->lease_id != lease_id)
             continue;
-        g_autofree char *key = g_strdup(record->key); /* the record goes with its key */
+        g_autofree char *key = g_strdup(record->key); /* write_record frees the record's own key */
         write_record(store, key, NULL, 0);
     }
 }
@@ -126,7 +128,8 @@
 
 /* --- transactions --- */
 
-/* The size as JSON, the form in which limits are counted. */
+/* Estimates the size of the value as JSON in bytes, because the state service's limit of a value
+ * counts its JSON form. */
 static size_t json_size(const msgpack_object *object)
 {
     char number[40];
@@ -172,7 +175,8 @@
            (writes->len > store->max_writes || preconditions->len > max_preconditions);
 }
 
-/* Says in `rejected_key` what is too large. */
+/* Returns whether the transaction is above a limit of the store. If so, `rejected_key` describes
+ * the part that is too large. */
 static bool is_too_large(fake_state_store *store, const GArray *preconditions, const GArray *writes)
 {
     store->rejected_key[0] = 0;
--- a/fault_injection/fake_worker.c
+++ b/fault_injection/fake_worker.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* What the published protocol answers to commands, as HTTP statuses. */
+/* The HTTP statuses with which a worker answers commands, as in the published protocol. */
 enum { STATUS_OK = 200, STATUS_CONFLICT = 409 };
 
 #define FAKE_WORKER_CORES 16.0
@@ -135,7 +135,8 @@
     return cores;
 }
 
-/* Why a launch is refused; MV_EXIT_NONE: it is not. */
+/* Returns the reason for which the worker refuses a launch, or MV_EXIT_NONE if the worker accepts
+ * the launch. */
 static mv_exit_reason launch_refusal(const fake_worker *worker, const mv_command *command,
                                      const fake_task_spec *spec)
 {
@@ -148,7 +149,8 @@
     return MV_EXIT_NONE;
 }
 
-/* A refused task is there too, as exited, until it is cleared. */
+/* Launches a task unless the worker already has this attempt. If the worker refuses the launch, the
+ * task is listed as exited, with the reason, until a controller clears the task. */
 static void launch(fake_worker *worker, const mv_command *command, double now,
                    fake_task_lookup lookup, void *context)
 {
@@ -174,7 +176,8 @@
     worker->changed = true;
 }
 
-/* A task that saves exits only once it has saved, unless it gets no time for that. */
+/* Stops a running task. If the grace period is long enough for the task to save its state, the task
+ * exits when it has saved; otherwise the task exits at once without saving. */
 static void stop(fake_worker *worker, fake_task *task, double grace_period_s, double now)
 {
     task->exit_reason = MV_EXIT_STOPPED;
@@ -211,7 +214,9 @@
         execute(worker, &g_array_index(commands, mv_command, i), now, lookup, context);
 }
 
-/* Whether a controller may command it: in the current agent epoch, under no older fencing token. */
+/* Returns whether the worker accepts a message from a controller, and stores the message's fencing
+ * token if so. The worker rejects messages of another agent epoch and messages whose fencing token
+ * is older than the stored token. */
 static bool accept_controller(fake_worker *worker, uint64_t fencing_token, uint64_t agent_epoch)
 {
     if (agent_epoch != worker->agent_epoch || fencing_token < worker->fencing_token)
--- a/fault_injection/fake_worker.h
+++ b/fault_injection/fake_worker.h
@@ -1,9 +1,10 @@
 /**
- * A machine with its agent, by the published protocol: tasks, heartbeats, commands, and the faults
- * of either.
+ * A worker: a machine with its agent, which runs tasks, sends heartbeats and executes commands as
+ * the published protocol defines. The module also holds the faults of the machine and of its agent.
  *
- * Shared by the simulation of tests/ and by the machines on loopback. Pure: the caller brings the
- * time, steady seconds. Not thread-safe; the owner serializes the calls.
+ * The simulation in tests/ and the simulated machines on loopback share the module. A worker reads
+ * no clock: the caller passes the time in seconds of a steady clock. A worker is not thread-safe;
+ * its owner must serialize the calls.
  */
 #ifndef MV_FAKE_WORKER_H
 #define MV_FAKE_WORKER_H
@@ -13,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Status of a task on a worker. */
+/** The status of a task on a worker. */
 typedef enum { FAKE_TASK_RUNNING, FAKE_TASK_EXITED } fake_task_status;
 
 /** A task on a worker. */
@@ -23,66 +24,80 @@
     uint64_t attempt;
     fake_task_status status;
     mv_exit_reason exit_reason;
-    double started_at, ends_at; /**< its run; started_at 0: it was refused */
+    double started_at; /**< start of the run; 0: the worker refused the launch */
+    double ends_at;    /**< end of the run, or of the saving that a stop command began */
     double cores, ram_gb;
-    double save_s; /**< time that it takes to save when it is stopped; 0: it does not save */
-    bool saving;   /**< it was told to stop, and counts as running until it has saved */
+    double save_s; /**< time that the task needs to save its state on a stop; 0: it does not save */
+    bool saving;   /**< the task saves after a stop command and still counts as running */
 } fake_task;
 
-/** A worker on one machine. Times are 0 where nothing of the kind happens. */
+/** A worker on one machine. A time is 0 if its event or fault does not occur. */
 typedef struct {
     char id[MV_NAME_SIZE], address[64], type_name[MV_NAME_SIZE], zone_name[MV_NAME_SIZE];
-    bool spot, gone, never_boots;
+    bool spot;
+    bool gone; /**< the machine no longer exists */
+    bool never_boots;
     double rented_at, booted_at;
-    double partitioned_until;       /**< it works on, but nothing reaches it or comes from it */
-    double commands_blocked_until;  /**< its heartbeats arrive, responses and commands do not */
-    double heartbeats_blocked_from; /**< its heartbeats reach nobody, commands reach it */
-    double heartbeats_blocked_until;
-    double hung_until; /**< it does nothing, and continues then */
-    double reclaim_at; /**< when the cloud takes it; 0: no notice */
+    double partitioned_until;        /**< until then, all messages to and from the worker are lost;
+                                        the worker keeps running its tasks */
+    double commands_blocked_until;   /**< until then, the worker's heartbeats arrive, but responses
+                                        and commands to the worker are lost */
+    double heartbeats_blocked_from;  /**< begin of the fault that heartbeats_blocked_until ends */
+    double heartbeats_blocked_until; /**< until then, the worker's heartbeats are lost, but commands
+                                        reach the worker */
+    double hung_until; /**< until then, the worker does nothing; afterwards it continues */
+    double reclaim_at; /**< time at which the cloud reclaims the machine; 0: no reclaim notice */
     uint64_t agent_epoch, sequence, fencing_token;
-    double lease_renewed_at; /**< when the last answered heartbeat was sent */
+    double lease_renewed_at; /**< time at which the latest answered heartbeat was sent, or begin
+                                of the agent epoch if none was answered since */
     double lease_s;
-    GPtrArray *tasks; /**< fake_task */
+    GPtrArray *tasks; /**< elements are fake_task */
     GHashTable *images;
-    bool changed; /**< since the last heartbeat */
+    bool changed; /**< the state that the worker reports has changed since its latest heartbeat */
 } fake_worker;
 
-/** What a worker knows of a task that it is to launch. */
+/** The properties of a task that a worker needs for the launch. */
 typedef struct {
     double cores, ram_gb, run_s, save_s;
-    bool known; /**< false: the launch is refused */
-    bool fails; /**< it exits with an error soon after its start */
+    bool known; /**< false: the task is unknown, and the worker refuses the launch */
+    bool fails; /**< true: the task exits with an error soon after its start */
 } fake_task_spec;
 
-/** Looks up a task to launch. */
+/** Returns the properties of a task that a worker has to launch. */
 typedef fake_task_spec (*fake_task_lookup)(void *context, const char *job, uint32_t task);
 
-/** A worker without tasks in zone "z"; freed with fake_worker_free. */
+/** Returns a worker in zone "z" without tasks, which the caller frees with fake_worker_free. */
 fake_worker *fake_worker_new(const char *id, const char *type_name, bool spot, double lease_s);
 
-/** Frees a fake_worker. */
+/** Frees a fake_worker and its tasks; usable as a GDestroyNotify. */
 void fake_worker_free(gpointer data);
 
-/** Advances its tasks to `now`; ends the agent epoch when the lease has expired. */
+/** Ends the tasks whose run is over at `now`. If the worker's lease has expired, the worker drops
+ * all tasks and begins a new agent epoch first. */
 void fake_worker_advance(fake_worker *worker, double now);
 
-/** Fills in the next heartbeat, which the caller clears with mv_heartbeat_clear. */
+/** Fills in the worker's next heartbeat, which the caller clears with mv_heartbeat_clear. */
 void fake_worker_heartbeat(fake_worker *worker, double now, mv_heartbeat *heartbeat);
 
-/** Executes commands (mv_command; NULL: none) without a check of who sent them. */
+/** Executes an array of mv_command, or nothing if `commands` is NULL. The function does not check
+ * whether the sender may command the worker. */
 void fake_worker_execute(fake_worker *worker, const GArray *commands, double now,
                          fake_task_lookup lookup, void *context);
 
-/** A response to a heartbeat that was sent at `sent_at` in that agent epoch; whether it counted. */
+/** Processes a controller's response to the heartbeat that the worker sent at `sent_at` in
+ * `agent_epoch`: renews the lease and executes the commands. Returns false without doing either if
+ * the agent epoch is over or the fencing token is stale. */
 bool fake_worker_receive_response(fake_worker *worker, uint64_t agent_epoch, double sent_at,
                                   uint64_t fencing_token, const GArray *commands, double now,
                                   fake_task_lookup lookup, void *context);
 
-/** The machine restarts at once in a new agent epoch: its tasks are gone, its token stays. */
+/** Restarts the machine without downtime. The worker drops all tasks, keeps its fencing token and
+ * begins a new agent epoch. */
 void fake_worker_restart(fake_worker *worker, double now);
 
-/** Commands sent straight to the worker, POST /commands; returns HTTP status 200 or 409. */
+/** Processes commands that a controller sends directly to the worker (POST /commands). Returns HTTP
+ * status 200 if the worker executes them, or 409 if the agent epoch is over or the fencing token is
+ * stale. */
 int fake_worker_receive_command(fake_worker *worker, uint64_t fencing_token, uint64_t agent_epoch,
                                 const GArray *commands, double now, fake_task_lookup lookup,
                                 void *context);
