--- a/fault_injection/cloud_server.c
+++ b/fault_injection/cloud_server.c
@@ -1,5 +1,5 @@
 /**
- * The fake cloud's HTTP interface.
+ * The HTTP interface of the fake cloud, which starts a simulated machine for each instance.
  */
 #include "cloud_server.h"
 
@@ -15,9 +15,9 @@
 struct mv_cloud_server {
     unsigned capacity;
     const mv_machine_options *machine_options;
-    pthread_mutex_t lock;          /* guards machines, instance_requests and down */
-    GPtrArray *machines;           /* mv_simulated_machine */
-    GHashTable *instance_requests; /* name of a request -> GPtrArray of machine ids */
+    pthread_mutex_t lock;          /* guards `machines`, `instance_requests` and `down` */
+    GPtrArray *machines;           /* elements are mv_simulated_machine */
+    GHashTable *instance_requests; /* name of a request -> GPtrArray of the machine ids it got */
     bool down;
     mv_loopback_server *server;
 };
@@ -38,7 +38,8 @@
     return MHD_HTTP_OK;
 }
 
-/* Starts as many machines as are asked for and left; returns their ids. */
+/* Starts the requested number of machines, or fewer if the cloud's capacity does not suffice.
+ * Returns the ids of the new machines. */
 static GPtrArray *start_machines(mv_cloud_server *server, const msgpack_object *body)
 {
     char type_name[MV_NAME_SIZE] = "";
@@ -57,7 +58,8 @@
     return ids;
 }
 
-/* Idempotent: a request that is repeated under its name gets the same machines. */
+/* Handles a request for instances. The handler is idempotent: if a controller repeats a request
+ * under the same name, the response lists the same machines and no new machine starts. */
 static int request_instances(mv_cloud_server *server, const msgpack_object *body,
                              mv_writer *response)
 {
@@ -81,7 +83,8 @@
     return MHD_HTTP_OK;
 }
 
-/* The list is always empty: machines are known by their heartbeats alone. */
+/* Responds with an empty list of instances at all times, so that controllers know a machine only by
+ * the machine's heartbeats. */
 static int list_instances(mv_writer *response)
 {
     mv_write_map(response, 2);
@@ -105,7 +108,7 @@
     if (strcmp(request->path, WIRE_MACHINE_TYPES_PATH) == 0)
         return list_machine_types(response);
     if (strcmp(request->path, WIRE_INSTANCES_PATH) != 0)
-        return MHD_HTTP_OK; /* machines are never released here */
+        return MHD_HTTP_OK; /* the fake cloud accepts a release request but keeps the machine */
     if (strcmp(request->method, "POST") == 0)
         return request_instances(server, request->body, response);
     return list_instances(response);
@@ -154,8 +157,8 @@
     pthread_mutex_unlock(&server->lock);
 }
 
-/* The server ends first, so that no machine is started any more; then the machines, side by side.
- */
+/* Stops the server first, so that no request starts another machine, and then all machines at the
+ * same time. */
 void mv_cloud_server_stop(mv_cloud_server *server)
 {
     mv_loopback_server_stop(server->server);
--- a/fault_injection/cloud_server.h
+++ b/fault_injection/cloud_server.h
@@ -1,7 +1,9 @@
 /**
- * The fake cloud on loopback: machine types, instance requests, and the machines that they start.
+ * The fake cloud on loopback: an HTTP server that lists machine types, accepts instance requests
+ * and starts a simulated machine for each instance.
  *
- * Thread-safe; the lock of the server guards its machines, its requests and the outage flag.
+ * The functions are thread-safe: the server's lock guards the machines, the instance requests and
+ * the outage flag.
  */
 #ifndef MV_CLOUD_SERVER_H
 #define MV_CLOUD_SERVER_H
@@ -9,22 +11,24 @@
 
 typedef struct mv_cloud_server mv_cloud_server;
 
-/** Starts a cloud that can provide `capacity` machines. `machine_options` is not owned and must
- * outlive it. */
+/** Starts a cloud that can provide `capacity` machines. The caller keeps `machine_options`, which
+ * must outlive the server. */
 mv_cloud_server *mv_cloud_server_start(unsigned capacity,
                                        const mv_machine_options *machine_options);
 
-/** The port it listens on. */
+/** Returns the port on which the server listens. */
 uint16_t mv_cloud_server_port(const mv_cloud_server *server);
 
-/** While it is down, every request gets an error. */
+/** Begins or ends an outage of the cloud. During an outage, the server responds to every request
+ * with an error. */
 void mv_cloud_server_set_down(mv_cloud_server *server, bool down);
 
-/** Sets the fault of the link on which commands reach a machine, by its number from 0 in the order
- * of starts; does nothing if it was not started. */
+/** Sets the fault of the link on which commands reach a machine. `machine` is the machine's number,
+ * counted from 0 in the order of starts; if no such machine was started, the function does nothing.
+ */
 void mv_cloud_server_set_command_link(mv_cloud_server *server, unsigned machine,
                                       const mv_link_fault *fault);
 
-/** Ends the server and all machines, and frees them. */
+/** Stops the server and all machines, and frees them. */
 void mv_cloud_server_stop(mv_cloud_server *server);
 #endif
--- a/fault_injection/relay.c
+++ b/fault_injection/relay.c
@@ -1,5 +1,6 @@
 /**
- * The relay: an accepting thread, and two forwarding threads for each connection.
+ * The relay. One thread accepts connections, and two threads forward the data of each connection,
+ * one thread for each direction.
  */
 #include "relay.h"
 
@@ -12,35 +13,36 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define POLL_MS 20          /* how soon an idle connection notices a change of the link */
-#define FORWARD_BYTES 16384 /* at once */
+#define POLL_MS 20 /* longest time until an idle connection notices a new fault or a stop */
+#define FORWARD_BYTES 16384 /* most data that a thread forwards in one step */
 #define STACK_BYTES (128 * 1024)
 #define DIRECTIONS 2
 
-enum { CLIENT_SIDE = 0, TARGET_SIDE = 1 }; /* indices of a connection's sockets */
+enum { CLIENT_SIDE = 0, TARGET_SIDE = 1 }; /* indices of relayed_connection.fds */
 
 struct mv_relay {
-    pthread_mutex_t lock; /* guards fault, stopping, forwarders */
+    pthread_mutex_t lock; /* guards `fault`, `stopping` and `forwarders` */
     pthread_cond_t forwarder_ended;
     mv_link_fault fault;
     bool stopping;
-    unsigned forwarders; /* running threads */
+    unsigned forwarders; /* number of running forwarding threads */
     int listener;
     uint16_t target_port;
     pthread_t acceptor;
 };
 
-/* Owned by its two forwarding threads; the last one to end frees it. */
+/* A connection through the relay. The two forwarding threads share it, and the thread that ends
+ * last frees it. */
 typedef struct {
     mv_relay *relay;
     int fds[DIRECTIONS];
-    gint threads;          /* that still use it */
-    gint dropped_anything; /* of what it carried */
+    gint threads;          /* number of threads that still use the connection; atomic */
+    gint dropped_anything; /* 1 if the relay dropped data of the connection; atomic */
 } relayed_connection;
 
 typedef struct {
     relayed_connection *connection;
-    int source; /* the side it reads from */
+    int source; /* the side from which the thread reads: CLIENT_SIDE or TARGET_SIDE */
 } forwarder;
 
 static mv_link_fault current_fault(mv_relay *relay, bool *stopping)
@@ -63,7 +65,8 @@
     return true;
 }
 
-/* Forwards what has arrived, or drops it; false: the connection is over. */
+/* Forwards the data that has arrived, or drops it if the fault requires that. Returns false if the
+ * connection has ended. */
 static bool forward_data(const forwarder *forwarder, const mv_link_fault *fault)
 {
     relayed_connection *connection = forwarder->connection;
@@ -81,7 +84,9 @@
     return true;
 }
 
-/* One turn of a forwarding thread; false: the connection is over. */
+/* Performs one step of a forwarding thread: waits up to POLL_MS for data and forwards the data.
+ * Returns false if the connection has to end: the relay stops, a socket fails, or the link works
+ * again after the relay dropped data of this connection. */
 static bool forward_once(const forwarder *forwarder)
 {
     relayed_connection *connection = forwarder->connection;
@@ -122,7 +127,8 @@
     return NULL;
 }
 
-/* The thread is detached; mv_relay_stop waits for it by the count of forwarders. */
+/* Starts a forwarding thread that reads from `source`. The thread is detached; mv_relay_stop waits
+ * until relay->forwarders is 0 instead of joining the threads. */
 static void start_forwarder(relayed_connection *connection, int source)
 {
     mv_relay *relay = connection->relay;
--- a/fault_injection/relay.h
+++ b/fault_injection/relay.h
@@ -1,9 +1,11 @@
 /**
- * A link between two processes: connections to its port are forwarded to another port on loopback,
- * and each direction can drop what it carries, delay it, or be refused.
+ * A relay simulates the link between two processes. The relay listens on a port on loopback and
+ * forwards each connection to another port on loopback. The relay can drop the data of either
+ * direction, delay the data, or refuse connections.
  *
- * Thread-safe, except that mv_relay_stop must be the last call. Threads: one accepts, from start to
- * stop; two forward for each connection, one in each direction, and stop waits for all of them.
+ * The functions are thread-safe, except that the caller must call mv_relay_stop last. One thread
+ * accepts connections from mv_relay_start to mv_relay_stop. Two threads forward the data of each
+ * connection, one for each direction, and mv_relay_stop waits for all of these threads.
  */
 #ifndef MV_RELAY_H
 #define MV_RELAY_H
@@ -12,20 +14,23 @@
 
 typedef struct mv_relay mv_relay;
 
-/** What is wrong with a link; zero: nothing. */
+/** The fault of a link. The link works if all fields are zero. The client is the process that opens
+ * the connection. */
 typedef struct {
-    bool drop_requests;  /**< what the side that connects sends is lost */
-    bool drop_responses; /**< what it would receive is lost */
-    bool refuse;         /**< connections are reset at once */
-    unsigned delay_ms;   /**< of whatever is carried, each way */
+    bool drop_requests;  /**< the relay drops the data that the client sends */
+    bool drop_responses; /**< the relay drops the data that is sent to the client */
+    bool refuse;         /**< the relay resets each new connection at once */
+    unsigned delay_ms;   /**< delay of the data in each direction */
 } mv_link_fault;
 
-/** Starts a relay to `target_port`, which need not be served yet, and stores its own port in
- * `port`. NULL: no port can be served. Ended by mv_relay_stop. */
+/** Starts a relay that forwards to `target_port`, and stores the relay's own port in `port`. No
+ * process needs to listen on the target port yet. Returns NULL if the relay cannot listen on a
+ * port. The caller ends the relay with mv_relay_stop. */
 mv_relay *mv_relay_start(uint16_t target_port, uint16_t *port);
 
-/** Sets what is wrong from now on; `fault` stays the caller's. A connection that lost something is
- * closed when the link heals: what follows would make no sense to the other side. */
+/** Sets the fault of the link, which replaces the previous fault; the function copies `fault`. If
+ * the relay dropped data of a connection, the relay closes that connection when the link no longer
+ * drops data, because the receiver could not interpret data that follows a gap. */
 void mv_relay_set(mv_relay *relay, const mv_link_fault *fault);
 
 /** Closes all connections, waits for the threads and frees the relay; NULL is allowed. */
--- a/fault_injection/simulated_machine.c
+++ b/fault_injection/simulated_machine.c
@@ -1,5 +1,6 @@
 /**
- * Simulated machines: heartbeats, commands, and the record of what ran.
+ * Simulated machines: they send heartbeats, execute commands, and record in the history which tasks
+ * start and exit.
  */
 #include "simulated_machine.h"
 
@@ -14,22 +15,24 @@
 #include <pthread.h>
 #include <string.h>
 
-#define HEARTBEAT_TIMEOUT_MS 4000 /* PROTOCOL: a report without an answer */
+/* The published protocol sets this time for a heartbeat that receives no response. */
+#define HEARTBEAT_TIMEOUT_MS 4000
 #define TASK_CORES 2
 #define TASK_RAM_GB 1
 
 struct mv_simulated_machine {
     const mv_machine_options *options;
-    pthread_mutex_t lock; /* guards worker, recorded and stopping */
+    pthread_mutex_t lock; /* guards `worker`, `recorded` and `stopping` */
     fake_worker *worker;
-    GHashTable *recorded; /* "job/task/attempt" -> fake_task, as the history knows it */
+    /* "job/task/attempt" -> fake_task, a copy of each task as of the latest record_changes */
+    GHashTable *recorded;
     bool stopping;
     mv_loopback_server *server;
     mv_relay *command_link;
     pthread_t thread;
 };
 
-/* --- history; the lock is held --- */
+/* --- history; the caller of each function holds the machine's lock --- */
 
 static void record_event(const mv_simulated_machine *machine, mv_event_kind kind,
                          const fake_task *task)
@@ -58,7 +61,8 @@
     return false;
 }
 
-/* A predicate of g_hash_table_foreach_remove. */
+/* Callback of g_hash_table_foreach_remove: returns TRUE if the task is no longer on the machine. If
+ * the task had not exited before, the function records the task as lost. */
 static gboolean record_if_gone(gpointer key, gpointer value, gpointer data)
 {
     const mv_simulated_machine *machine = data;
@@ -70,7 +74,9 @@
     return TRUE;
 }
 
-/* A task that was refused never started and leaves no events. */
+/* Records the start and the exit of a task if they occurred after the previous call. `before` is
+ * the task as of that call, or NULL if the task is new. A task whose launch the worker refused
+ * never started, so the function records nothing for that task. */
 static void record_task(const mv_simulated_machine *machine, const fake_task *before,
                         const fake_task *task)
 {
@@ -83,7 +89,7 @@
                      task);
 }
 
-/* Records what changed on the machine since the last call. */
+/* Records in the history which tasks have started, exited or vanished since the previous call. */
 static void record_changes(mv_simulated_machine *machine)
 {
     if (!machine->options->history)
@@ -158,7 +164,8 @@
     return heartbeat;
 }
 
-/* False: the body carries no fencing token, so it is no answer of a controller in charge. */
+/* Passes a controller's response to the worker. Returns false if the body has no fencing token,
+ * because then the response is not from the controller that owns the machine. */
 static bool apply_response(mv_simulated_machine *machine, const sent_heartbeat *heartbeat,
                            const msgpack_object *body)
 {
@@ -175,7 +182,8 @@
     return true;
 }
 
-/* The controller that a body redirects to; `fallback` if it names none. */
+/* Returns the number of the controller to which the response redirects the machine, or `fallback`
+ * if the response names no known controller. */
 static unsigned redirect_target(const mv_machine_options *options, const msgpack_object *body,
                                 unsigned fallback)
 {
@@ -190,7 +198,9 @@
     return fallback;
 }
 
-/* Sends one heartbeat to a controller; returns which one gets the next. */
+/* Sends one heartbeat to a controller and returns the number of the controller that receives the
+ * next heartbeat: the same one if it accepted the heartbeat, the one that its response names if it
+ * redirected the machine, and otherwise the next controller by number. */
 static unsigned send_heartbeat(mv_simulated_machine *machine, unsigned controller)
 {
     const mv_machine_options *options = machine->options;
@@ -231,7 +241,7 @@
     return NULL;
 }
 
-/* --- life --- */
+/* --- start and stop --- */
 
 mv_simulated_machine *mv_simulated_machine_start(const mv_machine_options *options, const char *id,
                                                  const char *type_name, bool spot)
--- a/fault_injection/simulated_users.c
+++ b/fault_injection/simulated_users.c
@@ -1,5 +1,5 @@
 /**
- * Simulated users.
+ * Simulated users: threads that submit, cancel and poll the jobs of a script.
  */
 #include "simulated_users.h"
 
@@ -13,16 +13,20 @@
 #include <string.h>
 
 #define USER_THREADS 4
-#define USER_PAUSE_MS 100      /* between two rounds of a user */
-#define SUBMIT_TIMEOUT_MS 5000 /* PROTOCOL: users wait so long for the response to a submission */
-#define POLL_TIMEOUT_MS 2000   /* and to a question */
+#define USER_PAUSE_MS 100 /* pause of a user between two rounds over its jobs */
+/* The published protocol sets how long users wait for a response: to a submission, and to a poll or
+ * cancellation. */
+#define SUBMIT_TIMEOUT_MS 5000
+#define POLL_TIMEOUT_MS 2000
 
 typedef enum { JOB_PLANNED, JOB_SUBMITTING, JOB_POLLING, JOB_FINISHED } job_state;
 
-/* A job as its user sees it; used by one thread alone once the users run. */
+/* A job from the view of its user. While the users run, only the job's own user thread accesses the
+ * job. */
 typedef struct {
     char id[MV_ID_SIZE];
-    double submit_at, cancel_at; /* cancel_at 0: never */
+    double submit_at;
+    double cancel_at; /* 0: the user never cancels the job */
     unsigned tasks;
     unsigned next_controller;
     job_state state;
@@ -38,8 +42,8 @@
     mv_users_options options;
     user_job *jobs;
     user threads[USER_THREADS];
-    gint finished_jobs; /* atomic */
-    gint stopping;      /* atomic */
+    gint finished_jobs; /* accessed atomically */
+    gint stopping;      /* accessed atomically */
 };
 
 static void plan_jobs(mv_simulated_users *users)
@@ -69,7 +73,8 @@
     mv_history_add(users->options.history, event);
 }
 
-/* The controllers take turns. */
+/* Returns the address of the controller for the job's next request. The requests of a job go to the
+ * controllers in rotation. */
 static const char *next_controller(const mv_simulated_users *users, user_job *job)
 {
     const mv_controller_cluster *cluster = users->options.cluster;
@@ -111,7 +116,8 @@
     return strcmp(status, WIRE_DONE) == 0 || strcmp(status, WIRE_CANCELLED) == 0;
 }
 
-/* Asks for the state of the job, or cancels it, which responds with the state too. */
+/* Polls the state of the job, or cancels the job if the time for that has come; the controller
+ * responds to both with the state. If the state is final, the job is finished. */
 static void poll_or_cancel(mv_simulated_users *users, user_job *job, double now)
 {
     char path[MV_ID_SIZE + 40];
--- a/fault_injection/state_store_server.c
+++ b/fault_injection/state_store_server.c
@@ -1,5 +1,5 @@
 /**
- * The fake state service's HTTP interface.
+ * The HTTP interface of the fake state service: it maps requests to calls of fake_state_store.
  */
 #include "state_store_server.h"
 
@@ -12,12 +12,12 @@
 #include <pthread.h>
 #include <string.h>
 
-#define LIST_PAGE_ITEMS 5 /* small, so that controllers have to page */
-#define WATCH_POLL_US 5000
+#define LIST_PAGE_ITEMS 5  /* few records in a page, so that controllers must request more pages */
+#define WATCH_POLL_US 5000 /* interval at which a waiting watch checks for changes */
 #define MS_PER_S 1000
 
 struct mv_state_store_server {
-    pthread_mutex_t lock; /* guards all below but the server */
+    pthread_mutex_t lock; /* guards all fields below except `server` */
     fake_state_store *store;
     mv_history *history;
     bool stopping;
@@ -82,7 +82,8 @@
 
 /* --- watches --- */
 
-/* Releases the lock while it waits. */
+/* Blocks until the store has a revision above `after`, the time is `until`, or the server stops.
+ * The caller holds the lock; the function releases the lock while it waits. */
 static void wait_for_change(mv_state_store_server *server, uint64_t after, double until)
 {
     while (server->store->revision <= after && mv_steady_now_s() < until && !server->stopping) {
@@ -135,7 +136,8 @@
 
 /* --- transactions --- */
 
-/* Final records are what users are told in the end: the history has each one that was written. */
+/* Adds a final record that a controller wrote to the history, so that the history checker can
+ * compare it with the final state that users receive. */
 static void record_final_state(mv_history *history, const mv_write *write)
 {
     gsize size;
@@ -181,7 +183,8 @@
     return mv_writer_finish(writer);
 }
 
-/* One write; `lease_id` is set if it names a lease. */
+/* Reads one write of a transaction. If the write names a lease, the function stores the lease's id
+ * in `lease_id`. */
 static mv_write read_write(const msgpack_object *object, uint64_t *lease_id)
 {
     mv_write write = {0};
@@ -249,7 +252,7 @@
     return MHD_HTTP_OK;
 }
 
-/* `path` begins with the lease's number. */
+/* Renews the lease whose id is the number at the start of `path`. */
 static int renew_lease(mv_state_store_server *server, const char *path)
 {
     const uint64_t lease_id = g_ascii_strtoull(path, NULL, 10);
--- a/fault_injection/state_store_server.h
+++ b/fault_injection/state_store_server.h
@@ -1,8 +1,8 @@
 /**
- * The fake state service on loopback: fake_state_store behind its published protocol (records,
- * transactions, leases, watches).
+ * The fake state service on loopback: an HTTP server that offers a fake_state_store through the
+ * published protocol of the state service (records, transactions, leases, watches).
  *
- * Thread-safe; the lock of the server guards the store and everything else in it.
+ * The functions are thread-safe: the server's lock guards the store and the server's own state.
  */
 #ifndef MV_STATE_STORE_SERVER_H
 #define MV_STATE_STORE_SERVER_H
@@ -11,23 +11,24 @@
 
 typedef struct mv_state_store_server mv_state_store_server;
 
-/** Starts the server with an empty store. One in `refuse_every` transactions is refused as above
- * the rate limit, 0: none. Final records that are written go to `history`, which may be NULL and
- * must outlive the server. */
+/** Starts the server with an empty store. The server refuses every `refuse_every`-th transaction as
+ * if it exceeded the rate limit; 0: the server refuses none. The server adds each final record that
+ * controllers write to `history`, which may be NULL and must outlive the server. */
 mv_state_store_server *mv_state_store_server_start(unsigned refuse_every, mv_history *history);
 
-/** The port it listens on. */
+/** Returns the port on which the server listens. */
 uint16_t mv_state_store_server_port(const mv_state_store_server *server);
 
-/** Transactions that were refused for the rate limit. */
+/** Returns the number of transactions that the server refused as above the rate limit. */
 unsigned mv_state_store_server_refused(mv_state_store_server *server);
 
-/** Takes the lock and returns the store; between lock and unlock the caller owns it. */
+/** Locks the server and returns its store. Only the caller may use the store until
+ * mv_state_store_server_unlock. */
 fake_state_store *mv_state_store_server_lock(mv_state_store_server *server);
 
-/** Releases the lock. */
+/** Releases the lock that mv_state_store_server_lock took. */
 void mv_state_store_server_unlock(mv_state_store_server *server);
 
-/** Ends waiting watches and the server, and frees both server and store. */
+/** Ends waiting watches, stops the server, and frees the server and its store. */
 void mv_state_store_server_stop(mv_state_store_server *server);
 #endif
