--- a/fault_injection/agent_codec.c
+++ b/fault_injection/agent_codec.c
@@ -1,5 +1,5 @@
 /**
- * Heartbeats and commands as a worker agent sends and receives them.
+ * Encodes heartbeats and decodes commands in the form that the published protocol defines.
  */
 #include "agent_codec.h"
 
--- a/fault_injection/cluster_links.c
+++ b/fault_injection/cluster_links.c
@@ -1,5 +1,5 @@
 /**
- * The relays of a cluster.
+ * Implementation of the links between the processes of a cluster: one relay for each link.
  */
 #include "cluster_links.h"
 
@@ -7,10 +7,12 @@
 
 struct mv_cluster_links {
     unsigned count;
-    mv_relay **state, **heartbeats; /* one for each controller */
-    uint16_t *state_ports, *heartbeat_ports;
-    mv_relay **peers; /* from i to k at i * count + k; NULL from one to itself */
-    uint16_t *peer_ports;
+    mv_relay **state;          /* relays from each controller to the state service */
+    mv_relay **heartbeats;     /* relays from the machines to each controller */
+    uint16_t *state_ports;     /* ports of the relays in `state` */
+    uint16_t *heartbeat_ports; /* ports of the relays in `heartbeats` */
+    mv_relay **peers;          /* relay from controller i to k at i * count + k; NULL if i is k */
+    uint16_t *peer_ports;      /* ports of the relays in `peers` */
 };
 
 static mv_relay *start_relay(uint16_t target_port, uint16_t *port)
--- a/fault_injection/cluster_links.h
+++ b/fault_injection/cluster_links.h
@@ -1,8 +1,10 @@
 /**
- * The links of a cluster of controllers, each through a relay of its own: from every controller to
- * the state service and to every other controller, and from the machines to every controller.
+ * The links of a cluster of controllers: from every controller to the state service and to every
+ * other controller, and from the machines to every controller. Each link goes through a separate
+ * relay, which can inject faults.
  *
- * One thread sets faults; the relays have threads of their own, from start to stop.
+ * One thread sets the faults. The threads of the relays run from mv_cluster_links_start to
+ * mv_cluster_links_stop.
  */
 #ifndef MV_CLUSTER_LINKS_H
 #define MV_CLUSTER_LINKS_H
@@ -11,17 +13,19 @@
 
 typedef struct mv_cluster_links mv_cluster_links;
 
-/** Starts all relays; aborts if one cannot be started. `cluster` is read during the call alone.
- * Ended by mv_cluster_links_stop. */
+/** Starts the relays of all links and aborts if one cannot be started. The function reads `cluster`
+ * only during the call. The caller ends the links with mv_cluster_links_stop. */
 mv_cluster_links *mv_cluster_links_start(const mv_controller_cluster *cluster, uint16_t state_port);
 
-/** Ports on which machines reach the controllers, by number; owned by the links. */
+/** Returns the ports through which machines reach the controllers, indexed by controller. The links
+ * own the array. */
 const uint16_t *mv_cluster_links_heartbeat_ports(const mv_cluster_links *links);
 
-/** The port on which a controller reaches the state service. */
+/** Returns the port through which a controller reaches the state service. */
 uint16_t mv_cluster_links_state_port(const mv_cluster_links *links, unsigned controller);
 
-/** Ports on which a controller reaches the others, by number; 0 for itself. Owned by the links. */
+/** Returns the ports through which a controller reaches the other controllers, indexed by
+ * controller, with 0 for the controller itself. The links own the array. */
 const uint16_t *mv_cluster_links_peer_ports(const mv_cluster_links *links, unsigned controller);
 
 /** Sets the fault of the link from a controller to the state service. */
@@ -32,10 +36,10 @@
 void mv_cluster_links_set_heartbeats(mv_cluster_links *links, unsigned controller,
                                      const mv_link_fault *fault);
 
-/** Sets the fault of the links from a controller to all others. */
+/** Sets the fault of the links from a controller to all other controllers. */
 void mv_cluster_links_set_peers(mv_cluster_links *links, unsigned controller,
                                 const mv_link_fault *fault);
 
-/** Ends all relays and frees the links; NULL is allowed. */
+/** Stops all relays and frees the links; NULL is allowed. */
 void mv_cluster_links_stop(mv_cluster_links *links);
 #endif
--- a/fault_injection/controller_cluster.c
+++ b/fault_injection/controller_cluster.c
@@ -1,5 +1,5 @@
 /**
- * Controller processes.
+ * Implementation of the controller processes: settings files, start with fork and exec, and kill.
  */
 #include "controller_cluster.h"
 
@@ -12,7 +12,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define EXIT_CANNOT_EXECUTE 127 /* of a child that found no program */
+#define EXIT_CANNOT_EXECUTE 127 /* exit status of a child that cannot execute the program */
 #define LOG_FILE_MODE 0644
 
 mv_controller_cluster *mv_cluster_new(const mv_cluster_options *options, unsigned count)
@@ -94,12 +94,13 @@
 
 /* --- processes --- */
 
-/* Runs in the child, between fork and exec: async-signal-safe calls only. */
+/* Replaces the child process by a controller. The function runs between fork and exec in a process
+ * with several threads, so it may make only async-signal-safe calls. */
 static void execute_node(const mv_controller_cluster *cluster, const mv_controller_process *node)
 {
     const char *program = cluster->options.program;
     const char *operator_file = cluster->options.operator_file;
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a run that fails leaves no processes behind */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* the controller must not outlive a run that fails */
     const int log = open(node->log, O_WRONLY | O_CREAT | O_APPEND, LOG_FILE_MODE);
     if (log >= 0)
         dup2(log, STDERR_FILENO);
--- a/fault_injection/controller_cluster.h
+++ b/fault_injection/controller_cluster.h
@@ -1,8 +1,9 @@
 /**
- * Controllers as real processes on loopback: their settings files, their starts and ends.
+ * A cluster of controllers that run as real processes on loopback. The module writes their settings
+ * files, and starts and kills the processes.
  *
- * Not thread-safe, except that ports and addresses do not change after mv_cluster_new and may be
- * read by any thread.
+ * The functions are not thread-safe. Ports and addresses do not change after mv_cluster_new, so any
+ * thread may read them.
  */
 #ifndef MV_CONTROLLER_CLUSTER_H
 #define MV_CONTROLLER_CLUSTER_H
@@ -11,45 +12,50 @@
 #include <stdint.h>
 #include <sys/types.h>
 
-/** One controller; n0, n1 and so on in its settings. */
+/** One controller process. The settings name the controllers n0, n1 and so on. */
 typedef struct {
-    pid_t pid; /**< 0: it does not run */
-    uint16_t listen_port, peer_port;
-    char address[40];   /**< for users */
-    char *config, *log; /**< paths of its files; owned */
+    pid_t pid;            /**< process id; 0: the controller does not run */
+    uint16_t listen_port; /**< port for users and machines */
+    uint16_t peer_port;   /**< port for the other controllers */
+    char address[40];     /**< "host:port" at which users reach the controller */
+    char *config, *log;   /**< paths of the settings file and of the log file; owned */
 } mv_controller_process;
 
-/** What all controllers have in common; the texts are not owned and must outlive the cluster. */
+/** The options that all controllers share. The caller keeps the strings, which must outlive the
+ * cluster. */
 typedef struct {
-    const char *program;       /**< the service */
-    const char *directory;     /**< of settings and logs */
-    const char *operator_file; /**< NULL: none */
+    const char *program;       /**< path of the service's executable */
+    const char *directory;     /**< directory of the settings files and logs */
+    const char *operator_file; /**< path of the operator settings; NULL: none */
+    /** Values of report_s, lease_s, cancel_s and settings.state.rps in the settings files. */
     double report_s, lease_s, cancel_s, state_rps;
 } mv_cluster_options;
 
-/** All controllers. */
+/** The cluster: the shared options and all controller processes. */
 typedef struct {
     mv_cluster_options options;
     mv_controller_process *nodes;
     unsigned count;
 } mv_controller_cluster;
 
-/** Reserves ports and file names for `count` controllers; none runs yet. Freed with
- * mv_cluster_free. */
+/** Chooses ports and file names for `count` controllers without starting them. The caller frees the
+ * cluster with mv_cluster_free. */
 mv_controller_cluster *mv_cluster_new(const mv_cluster_options *options, unsigned count);
 
-/** Kills those that run and frees the cluster; their files are removed unless `keep_files`. */
+/** Kills all running controllers and frees the cluster. Unless `keep_files` is set, the function
+ * also removes the settings files and logs. */
 void mv_cluster_free(mv_controller_cluster *cluster, bool keep_files);
 
-/** Writes the settings of one controller: ports of the state service and of the cloud, and in
- * `peer_ports` that of each other controller by its number, as this one reaches them. False: the
- * file cannot be written. */
+/** Writes the settings file of one controller. `state_port`, `cloud_port` and `peer_ports` (indexed
+ * by controller) are the ports through which this controller reaches the state service, the cloud
+ * and the other controllers. Returns false if the file cannot be written. */
 bool mv_cluster_configure(const mv_controller_cluster *cluster, unsigned index, uint16_t state_port,
                           uint16_t cloud_port, const uint16_t *peer_ports);
 
-/** Starts a controller that does not run. False: the process could not be started. */
+/** Starts a controller that does not run. Returns false if the process cannot be started. */
 bool mv_cluster_start_node(mv_controller_cluster *cluster, unsigned index);
 
-/** Kills a controller without any warning and waits for it; does nothing if it does not run. */
+/** Kills a controller with SIGKILL, so that it cannot shut down cleanly, and waits until the
+ * process has ended. The function does nothing if the controller does not run. */
 void mv_cluster_kill_node(mv_controller_cluster *cluster, unsigned index);
 #endif
--- a/fault_injection/environment.c
+++ b/fault_injection/environment.c
@@ -1,6 +1,6 @@
 /**
- * The environment: the composition of the fake state service and the fake cloud. Each of them owns
- * its state and its lock.
+ * The environment, which combines the fake state service and the fake cloud. Each of the two
+ * servers owns its state and guards it with its own lock.
  */
 #include "environment.h"
 
@@ -8,7 +8,7 @@
 #include "state_store_server.h"
 
 struct mv_environment {
-    mv_machine_options machine_options; /* not changed once a machine was started */
+    mv_machine_options machine_options; /* must not change after the first machine has started */
     mv_state_store_server *state;
     mv_cloud_server *cloud;
 };
--- a/fault_injection/loopback.c
+++ b/fault_injection/loopback.c
@@ -1,5 +1,5 @@
 /**
- * Sockets and ports on loopback.
+ * Implementation of the helpers for sockets and ports on loopback.
  */
 #include "loopback.h"
 
@@ -11,7 +11,9 @@
 
 #define FIRST_PORT 20000u
 #define LAST_PORT 32000u
-#define PORTS_PER_PROCESS 40u /* tests that run side by side begin this far apart */
+/* The first ports that two processes with successive ids try are this far apart, so that parallel
+ * tests do not compete for the same ports. */
+#define PORTS_PER_PROCESS 40u
 #define LISTEN_BACKLOG 128
 
 struct sockaddr_in mv_loopback_address(uint16_t port)
--- a/fault_injection/loopback.h
+++ b/fault_injection/loopback.h
@@ -1,23 +1,25 @@
 /**
- * Sockets and ports on loopback for the servers of fault injection runs and tests.
+ * Helpers for sockets and ports on loopback, used by the servers of fault injection runs and tests.
  */
 #ifndef MV_LOOPBACK_H
 #define MV_LOOPBACK_H
 #include <netinet/in.h>
 #include <stdint.h>
 
-/** A port that nothing listens on; never fails, aborts if none is free. It lies below those that
- * the system gives to outgoing connections: one of those may take any other free port before the
- * server that is to have it, or has to have it again after a restart, binds it. Not thread-safe. */
+/** Returns a port that is free at the time of the call, and aborts if no port is free. The port
+ * lies below the range from which the system chooses ports for outgoing connections. Otherwise, an
+ * outgoing connection could take the port before the server binds it, or before a restarted server
+ * binds it again. Not thread-safe. */
 unsigned mv_loopback_free_port(void);
 
-/** The loopback address with that port. */
+/** Returns the IPv4 loopback address with the given port. */
 struct sockaddr_in mv_loopback_address(uint16_t port);
 
-/** A socket that listens on a port which the system chooses, stored in `port`; the caller closes
- * it. -1: failed. */
+/** Returns a socket that listens on a port chosen by the system, and stores the port in `port`. The
+ * caller closes the socket. Returns -1 on failure. */
 int mv_loopback_listen(uint16_t *port);
 
-/** A socket connected to that port; the caller closes it. -1: failed. */
+/** Returns a socket that is connected to the given port. The caller closes the socket. Returns -1
+ * on failure. */
 int mv_loopback_connect(uint16_t port);
 #endif
--- a/fault_injection/loopback_server.c
+++ b/fault_injection/loopback_server.c
@@ -1,6 +1,6 @@
 /**
- * The HTTP server of the fake systems, on libmicrohttpd with one thread for each connection: a
- * watch of the state service blocks its handler for seconds.
+ * The HTTP server of the fake systems, built on libmicrohttpd. The server runs one thread for each
+ * connection, because the handler of a watch of the state service blocks for seconds.
  */
 #include "loopback_server.h"
 
@@ -39,7 +39,9 @@
     return result;
 }
 
-/* libmicrohttpd calls this with the headers, with each portion of the body, and at its end. */
+/* Request callback of libmicrohttpd, which calls it after the headers, for each portion of the
+ * body, and at the end of the body. The callback collects the body and handles the request at the
+ * end. */
 static enum MHD_Result on_request(void *cls, struct MHD_Connection *connection, const char *url,
                                   const char *method, const char *version, const char *data,
                                   size_t *size, void **request_state)
--- a/fault_injection/main.c
+++ b/fault_injection/main.c
@@ -1,5 +1,6 @@
 /**
- * The command line of the fault injection kit.
+ * The command line program fault_injection. It runs a scenario and prints the verdict, or prints
+ * the script that a seed generates.
  */
 #include "history_checker.h"
 #include "scenario_runner.h"
@@ -12,14 +13,15 @@
 
 #define DEFAULT_PROGRAM "target/mulleinvalve"
 
-/* Exit statuses: every rule held; one was broken or the run is incomplete; it could not run. */
+/* Exit statuses. EXIT_SOUND: the run was complete and broke no rule. EXIT_BROKEN: the run broke a
+ * rule or was incomplete. EXIT_USAGE: the program could not run the scenario. */
 enum { EXIT_SOUND = 0, EXIT_BROKEN = 1, EXIT_USAGE = 2 };
 
 typedef struct {
     gint seed;
-    char *program, *directory; /* owned; NULL: the default */
+    char *program, *directory; /* owned; NULL if the option is not given: use the default */
     gboolean quiet;
-    bool runs; /* else it prints the script */
+    bool runs; /* true for the command "run", false for "script" */
     const char *scenario;
 } command_line;
 
@@ -74,30 +76,33 @@
     return print_verdict(result, (uint32_t)options->seed, run_options.directory);
 }
 
-/* False: the command line is wrong, and a message says why. */
+/* Parses the command line into `options`. Returns false after printing the reason if the command
+ * line is not valid. */
 static bool parse_command_line(int argc, char **argv, command_line *options)
 {
     const GOptionEntry entries[] = {
-        {"seed", 's', 0, G_OPTION_ARG_INT, &options->seed, "the script is drawn from it (1)", "N"},
+        {"seed", 's', 0, G_OPTION_ARG_INT, &options->seed,
+         "seed from which the script is generated (default: 1)", "N"},
         {"program", 'p', 0, G_OPTION_ARG_FILENAME, &options->program,
-         "the service (" DEFAULT_PROGRAM ")", "FILE"},
+         "executable of the service (default: " DEFAULT_PROGRAM ")", "FILE"},
         {"directory", 'd', 0, G_OPTION_ARG_FILENAME, &options->directory,
-         "for settings, logs and the history (a new one)", "DIR"},
-        {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "no line for each step", NULL},
+         "directory for settings, logs and the history (default: a new temporary one)", "DIR"},
+        {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "do not print a line for each fault",
+         NULL},
         G_OPTION_ENTRY_NULL};
     g_autoptr(GOptionContext) context = g_option_context_new("run|script SCENARIO");
     g_autoptr(GError) error = NULL;
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_summary(
-        context, "Rehearses failures with real controllers on loopback and judges what happened.\n"
-                 "\"script\" prints what a seed brings; \"run\" plays it.");
+        context, "Injects faults into real controllers on loopback and checks the history.\n"
+                 "\"script\" prints the steps that a seed generates; \"run\" executes them.");
     if (!g_option_context_parse(context, &argc, &argv, &error)) {
         report_error(error->message);
         return false;
     }
     options->runs = argc == 3 && strcmp(argv[1], "run") == 0;
     if (!options->runs && !(argc == 3 && strcmp(argv[1], "script") == 0)) {
-        report_error("run SCENARIO or script SCENARIO is needed; see --help");
+        report_error("expected the command \"run SCENARIO\" or \"script SCENARIO\"; see --help");
         return false;
     }
     options->scenario = argv[2];
--- a/fault_injection/user_client.c
+++ b/fault_injection/user_client.c
@@ -1,5 +1,5 @@
 /**
- * A user's request to a controller.
+ * Sends the HTTP requests of users to controllers.
  */
 #include "user_client.h"
 
