--- a/fault_injection/environment.c
+++ b/fault_injection/environment.c
@@ -18,7 +18,7 @@
     mv_environment *environment = g_new0(mv_environment, 1);
     environment->machine_options = (mv_machine_options){.run_s = options->run_s,
                                                         .lease_s = options->lease_s,
-                                                        .heartbeat_ms = options->report_ms,
+                                                        .heartbeat_ms = options->heartbeat_ms,
                                                         .history = options->history};
     environment->state = mv_state_store_server_start(options->refuse_every, options->history);
     environment->cloud = mv_cloud_server_start(options->machines, &environment->machine_options);
--- a/fault_injection/environment.h
+++ b/fault_injection/environment.h
@@ -21,7 +21,7 @@
     unsigned machines;     /**< number of machines that the cloud can provide */
     double run_s;          /**< runtime of each task */
     double lease_s;        /**< lease of a machine */
-    unsigned report_ms;    /**< pause between two heartbeats of a machine */
+    unsigned heartbeat_ms; /**< pause between two heartbeats of a machine */
     unsigned refuse_every; /**< the state service refuses every n-th transaction; 0: none */
     mv_history *history;   /**< not owned, must outlive the environment; NULL: no recording */
 } mv_environment_options;
--- a/fault_injection/main.c
+++ b/fault_injection/main.c
@@ -13,9 +13,9 @@
 
 #define DEFAULT_PROGRAM "target/mulleinvalve"
 
-/* Exit statuses. EXIT_SOUND: the run was complete and broke no rule. EXIT_BROKEN: the run broke a
- * rule or was incomplete. EXIT_USAGE: the program could not run the scenario. */
-enum { EXIT_SOUND = 0, EXIT_BROKEN = 1, EXIT_USAGE = 2 };
+/* Exit statuses. EXIT_RULES_HELD: the run was complete and broke no rule. EXIT_RULE_BROKEN: the run
+ * broke a rule or was incomplete. EXIT_CANNOT_RUN: the program could not run the scenario. */
+enum { EXIT_RULES_HELD = 0, EXIT_RULE_BROKEN = 1, EXIT_CANNOT_RUN = 2 };
 
 typedef struct {
     gint seed;
@@ -33,7 +33,7 @@
         g_autofree char *description = mv_step_describe(step);
         printf("%8.3f %s\n", step->at, description);
     }
-    return EXIT_SOUND;
+    return EXIT_RULES_HELD;
 }
 
 static int print_verdict(const mv_scenario_run_result *run, uint32_t seed, const char *directory)
@@ -47,16 +47,17 @@
     printf("starts       %u, of them %u of tasks that had completed\n", check->starts,
            check->repeated_starts);
     if (!run->complete)
-        printf("incomplete   not every job came to its end within %d s\n", MV_SCENARIO_END_S);
+        printf("incomplete   not every job came to its end within %d s\n",
+               MV_SCENARIO_FINISH_TIMEOUT_S);
     for (guint i = 0; i < check->violations->len; i++)
         printf("broken       %s\n", (char *)g_ptr_array_index(check->violations, i));
-    return sound ? EXIT_SOUND : EXIT_BROKEN;
+    return sound ? EXIT_RULES_HELD : EXIT_RULE_BROKEN;
 }
 
 static int report_error(const char *message)
 {
     fprintf(stderr, "fault_injection: %s\n", message);
-    return EXIT_USAGE;
+    return EXIT_CANNOT_RUN;
 }
 
 static int run_scenario(const mv_scenario *scenario, const command_line *options)
@@ -123,7 +124,8 @@
 int main(int argc, char **argv)
 {
     command_line options = {.seed = 1};
-    const int status = parse_command_line(argc, argv, &options) ? execute(&options) : EXIT_USAGE;
+    const int status =
+        parse_command_line(argc, argv, &options) ? execute(&options) : EXIT_CANNOT_RUN;
     g_free(options.program);
     g_free(options.directory);
     return status;
--- a/fault_injection/scenario_runner.c
+++ b/fault_injection/scenario_runner.c
@@ -113,7 +113,7 @@
 
 static void wait_for_jobs(const scenario_run *run, const mv_simulated_users *users)
 {
-    const double until = mv_history_now(run->history) + MV_SCENARIO_END_S;
+    const double until = mv_history_now(run->history) + MV_SCENARIO_FINISH_TIMEOUT_S;
     while (!mv_simulated_users_are_finished(users) && mv_history_now(run->history) < until)
         g_usleep(FINISH_POLL_MS * 1000);
 }
@@ -165,7 +165,7 @@
     const mv_environment_options options = {.machines = run->scenario->machines,
                                             .run_s = run->scenario->run_ms / 1000.0,
                                             .lease_s = LEASE_S,
-                                            .report_ms = MACHINE_HEARTBEAT_MS,
+                                            .heartbeat_ms = MACHINE_HEARTBEAT_MS,
                                             .history = run->history};
     return mv_environment_start(&options);
 }
--- a/fault_injection/scenario_runner.h
+++ b/fault_injection/scenario_runner.h
@@ -8,7 +8,7 @@
 
 /** Longest time, in seconds, that the runner waits for all jobs to reach a final state after the
  * scenario's `seconds` are over. The limit is wide so that it also suffices on a slow computer. */
-#define MV_SCENARIO_END_S 180
+#define MV_SCENARIO_FINISH_TIMEOUT_S 180
 
 /** Options of a run. The strings must stay valid during mv_scenario_run. */
 typedef struct {
@@ -20,7 +20,8 @@
 /** The result of a run. */
 typedef struct {
     GArray *events; /**< the history, elements are mv_event; owned */
-    bool complete;  /**< users received a final state of every job within MV_SCENARIO_END_S */
+    bool complete;  /**< users received a final state of every job within
+                       MV_SCENARIO_FINISH_TIMEOUT_S */
 } mv_scenario_run_result;
 
 /** Reasons why a run fails. The error message names the file concerned. */
@@ -36,9 +37,9 @@
 GQuark mv_scenario_run_error_quark(void);
 
 /** Runs the script that the scenario and `seed` generate, and blocks until the run is over, which
- * takes the scenario's `seconds` and up to MV_SCENARIO_END_S. All processes and threads of the run
- * have ended when the function returns. The caller must ignore SIGPIPE, and frees the result with
- * mv_scenario_run_result_free. Returns NULL and sets `error` if the run fails. */
+ * takes the scenario's `seconds` and up to MV_SCENARIO_FINISH_TIMEOUT_S. All processes and threads
+ * of the run have ended when the function returns. The caller must ignore SIGPIPE, and frees the
+ * result with mv_scenario_run_result_free. Returns NULL and sets `error` if the run fails. */
 mv_scenario_run_result *mv_scenario_run(const mv_scenario *scenario, uint32_t seed,
                                         const mv_scenario_run_options *options, GError **error);
 
--- a/fault_injection/state_store_server.c
+++ b/fault_injection/state_store_server.c
@@ -50,8 +50,8 @@
     return strcmp(((const fake_record *)left)->key, ((const fake_record *)right)->key);
 }
 
-static GPtrArray *records_behind(const fake_state_store *store, const char *prefix,
-                                 const char *after)
+static GPtrArray *records_after(const fake_state_store *store, const char *prefix,
+                                const char *after)
 {
     g_autoptr(GList) sorted = g_list_sort(g_hash_table_get_values(store->records), compare_keys);
     GPtrArray *matching = g_ptr_array_new();
@@ -68,7 +68,7 @@
 {
     const char *prefix = mv_loopback_request_argument(request, WIRE_PREFIX);
     const char *after = mv_loopback_request_argument(request, WIRE_AFTER);
-    g_autoptr(GPtrArray) matching = records_behind(server->store, prefix, after);
+    g_autoptr(GPtrArray) matching = records_after(server->store, prefix, after);
     const guint count = MIN(matching->len, LIST_PAGE_ITEMS);
     mv_write_map(response, 3);
     mv_write_text(response, WIRE_ITEMS);
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -188,7 +188,7 @@
     const mv_environment_options environment_options = {.machines = 4,
                                                         .run_s = 1.5,
                                                         .lease_s = 20,
-                                                        .report_ms = 300,
+                                                        .heartbeat_ms = 300,
                                                         .refuse_every = REFUSED_EVERY};
     const mv_cluster_options cluster_options = {.program = MV_PROGRAM,
                                                 .directory = directory,
