--- a/fault_injection/cloud_server.c
+++ b/fault_injection/cloud_server.c
@@ -17,7 +17,7 @@
     const mv_machine_options *machine_options;
     pthread_mutex_t lock;          /* guards `machines`, `instance_requests` and `down` */
     GPtrArray *machines;           /* elements are mv_simulated_machine */
-    GHashTable *instance_requests; /* name of a request -> GPtrArray of the machine ids it got */
+    GHashTable *instance_requests; /* request name -> GPtrArray of the machine ids granted */
     bool down;
     mv_loopback_server *server;
 };
--- a/fault_injection/controller_cluster.h
+++ b/fault_injection/controller_cluster.h
@@ -55,7 +55,7 @@
 /** Starts a controller that does not run. Returns false if the process cannot be started. */
 bool mv_cluster_start_node(mv_controller_cluster *cluster, unsigned index);
 
-/** Kills a controller with SIGKILL, so that it cannot shut down cleanly, and waits until the
- * process has ended. The function does nothing if the controller does not run. */
+/** Kills a controller with SIGKILL, so that the controller cannot shut down cleanly, and waits
+ * until the process has ended. The function does nothing if the controller does not run. */
 void mv_cluster_kill_node(mv_controller_cluster *cluster, unsigned index);
 #endif
--- a/fault_injection/fake_state_store.h
+++ b/fault_injection/fake_state_store.h
@@ -38,8 +38,8 @@
     uint64_t next_lease_id; /**< id of the lease that was opened last */
     size_t value_bytes;     /**< largest size of a value as JSON; 0: no limit */
     guint max_writes;       /**< largest number of writes in a transaction; 0: no limit */
-    char
-        rejected_key[MV_KEY_SIZE]; /**< describes what the latest transaction above a limit broke */
+    /** The part of the latest checked transaction that was above a limit; "" if there is none. */
+    char rejected_key[MV_KEY_SIZE];
 } fake_state_store;
 
 /** Returns an empty store, which the caller frees with fake_state_store_free. */
--- a/fault_injection/fake_worker.h
+++ b/fault_injection/fake_worker.h
@@ -27,7 +27,7 @@
     double started_at; /**< start of the run; 0: the worker refused the launch */
     double ends_at;    /**< end of the run, or of the saving that a stop command began */
     double cores, ram_gb;
-    double save_s; /**< time that the task needs to save its state on a stop; 0: it does not save */
+    double save_s; /**< time that a stopped task needs to save its state; 0: no saving */
     bool saving;   /**< the task saves after a stop command and still counts as running */
 } fake_task;
 
@@ -45,7 +45,7 @@
     double heartbeats_blocked_from;  /**< begin of the fault that heartbeats_blocked_until ends */
     double heartbeats_blocked_until; /**< until then, the worker's heartbeats are lost, but commands
                                         reach the worker */
-    double hung_until; /**< until then, the worker does nothing; afterwards it continues */
+    double hung_until; /**< until then, the worker does nothing; afterwards the worker continues */
     double reclaim_at; /**< time at which the cloud reclaims the machine; 0: no reclaim notice */
     uint64_t agent_epoch, sequence, fencing_token;
     double lease_renewed_at; /**< time at which the latest answered heartbeat was sent, or begin
--- a/fault_injection/scenario.h
+++ b/fault_injection/scenario.h
@@ -55,7 +55,7 @@
 typedef enum {
     MV_SCENARIO_ERROR_FILE,  /**< the file is unreadable or violates the schema; the message has
                                 the line number if libcyaml gives one */
-    MV_SCENARIO_ERROR_RANGE, /**< a number is out of its range */
+    MV_SCENARIO_ERROR_RANGE, /**< a number in the file is outside the allowed range */
 } mv_scenario_error;
 
 /** The GError domain of the errors that mv_scenario_load sets. */
--- a/fault_injection/scenario_runner.c
+++ b/fault_injection/scenario_runner.c
@@ -48,8 +48,9 @@
 }
 
 /* Kills a controller when its fault begins and starts the controller again when the fault ends.
- * Faults of one controller can overlap, so the controller may already run again when a fault ends:
- * the runner kills it then too, before the start. Returns false if the start fails. */
+ * Faults of one controller can overlap, so the controller may already run again when a fault ends.
+ * Therefore the runner kills the controller before each restart too. Returns false if the start
+ * fails. */
 static bool kill_or_restart(scenario_run *run, const mv_step *step)
 {
     mv_cluster_kill_node(run->cluster, step->target_index);
--- a/fault_injection/simulated_machine.c
+++ b/fault_injection/simulated_machine.c
@@ -199,8 +199,9 @@
 }
 
 /* Sends one heartbeat to a controller and returns the number of the controller that receives the
- * next heartbeat: the same one if it accepted the heartbeat, the one that its response names if it
- * redirected the machine, and otherwise the next controller by number. */
+ * next heartbeat. That is the same controller if the controller accepted the heartbeat, the owner
+ * named in the response if the controller redirected the machine, and otherwise the next controller
+ * by number. */
 static unsigned send_heartbeat(mv_simulated_machine *machine, unsigned controller)
 {
     const mv_machine_options *options = machine->options;
--- a/fault_injection/state_store_server.c
+++ b/fault_injection/state_store_server.c
@@ -137,7 +137,7 @@
 /* --- transactions --- */
 
 /* Adds a final record that a controller wrote to the history, so that the history checker can
- * compare it with the final state that users receive. */
+ * compare the recorded state with the final state that users receive. */
 static void record_final_state(mv_history *history, const mv_write *write)
 {
     gsize size;
