--- a/tests/sim_invariants.c
+++ b/tests/sim_invariants.c
@@ -1,9 +1,10 @@
 /**
- * The rules that hold at every moment of a run, whatever the faults: no task runs twice, none runs
- * where its job may not be or after its job was cancelled, no team exceeds its quota, no record
- * goes back. A few rules hold only under plans whose faults leave no excuse.
+ * Safety rules that the simulation checks at every moment of a run, whatever the faults: no task
+ * runs twice, no task runs on a machine that its job excludes or after its job was cancelled, no
+ * team exceeds its quota, and no record loses progress. A few rules are checked only if the plan
+ * has no fault that explains the observation.
  *
- * The texts of violations are what sim_assert_rule_breaks() looks for.
+ * Tests match the texts of violations with sim_assert_rule_breaks().
  */
 #include "sim_internal.h"
 
@@ -11,11 +12,12 @@
 
 #include <string.h>
 
-/* A task is early that starts so soon after its machine came up. */
+/* A launch counts as early if the machine booted less than this many seconds before. */
 #define EARLY_LAUNCH_S 5
-/* After a controller has ended, the others need this long to take over, */
+/* After a controller has ended, another controller needs up to this many seconds to take over. */
 #define TAKEOVER_S 6
-/* and this beyond two heartbeat intervals to know that a machine's heartbeats do not arrive. */
+/* A controller needs two heartbeat intervals plus this many seconds to detect that the heartbeats
+ * of a machine do not arrive. */
 #define UNREACHABLE_DETECTION_S 4
 
 bool sim_plan_only_crashes(const sim_plan *plan)
@@ -47,9 +49,11 @@
         sim_violation(simulation, "stopped %s/%u for nothing", task->job_id, task->task);
 }
 
-/* Nothing is launched on a machine whose heartbeats arrive nowhere, once that can be known. For two
- * heartbeat intervals nobody can know, nor can whoever takes over; both take time. Controllers that
- * are cut off themselves, or may be, have an excuse. */
+/* Reports a launch on a machine whose heartbeats reach no controller, if the controllers had time
+ * to detect the missing heartbeats. Detection takes two heartbeat intervals plus
+ * UNREACHABLE_DETECTION_S, and after the end of a controller it starts only when another controller
+ * has taken over. The rule is not checked under plans that can cut off controllers or that turn the
+ * launch gate on, because a controller that is cut off cannot detect missing heartbeats. */
 static void check_launch_target(sim *simulation, const fake_worker *worker, const fake_task *task)
 {
     const sim_plan *plan = simulation->plan;
@@ -61,8 +65,8 @@
                                        !plan->worker_cut && !plan->launch_gate;
     if (controllers_connected && simulation->now < worker->heartbeats_blocked_until &&
         task->started_at > known_at)
-        sim_violation(simulation, "begun in vain: %s/%u on mute %s", task->job_id, task->task,
-                      worker->id);
+        sim_violation(simulation, "begun in vain: %s/%u on %s, whose heartbeats are lost",
+                      task->job_id, task->task, worker->id);
 }
 
 static void check_task_of_job(sim *simulation, const fake_worker *worker, const fake_task *task,
@@ -85,7 +89,8 @@
                       worker->id);
 }
 
-/* `running` is the set of "job/task" seen so far on any machine, `used_cores` is by team. */
+/* Checks the tasks of one machine. `running` is the set of running tasks, as "job/task", that this
+ * check has found on any machine; `used_cores` counts the cores in use by team. */
 static void check_worker(sim *simulation, fake_worker *worker, GHashTable *running,
                          double *used_cores)
 {
@@ -207,7 +212,8 @@
     return true;
 }
 
-/* The bits of a completion record, four tasks in each hexadecimal digit. The caller frees. */
+/* Returns the bits of a completion record, with four tasks in each hexadecimal digit. The caller
+ * frees the string. */
 static GString *completion_bits(GBytes *record)
 {
     gsize size;
--- a/tests/sim_launches.c
+++ b/tests/sim_launches.c
@@ -1,8 +1,10 @@
 /**
- * Launches of controllers that are cut off from the state store while the others are not.
+ * Launches by a controller that is cut off from the state store while the majority of controllers
+ * is connected.
  *
- * With the launch gate on, such a controller launches nothing once the cut has lasted for a while,
- * nor right after it has healed. The same observations give the figures of sim_launch_latency.
+ * With the launch gate on, the controller must launch nothing after the cut has lasted for
+ * LAUNCH_AFTER_CUT_MAX_S, and nothing for MV_HOLD_DOWN_INITIAL_S after the cut has healed. The
+ * figures of sim_launch_latency come from the same observations.
  */
 #include "sim_internal.h"
 
@@ -14,7 +16,8 @@
            simulation->now < node->state_responses_lost_until;
 }
 
-/* Two of three controllers that are cut off may take it for an outage. */
+/* Returns whether the majority of controllers is cut off. If two of three controllers are cut off,
+ * they may take the cuts for an outage of the state store, so the launch rules do not apply. */
 static bool majority_is_cut(const sim *simulation)
 {
     unsigned cut = 0;
@@ -32,7 +35,9 @@
     latency->longest_s = MAX(latency->longest_s, last_launch_s);
 }
 
-/* Cuts shorter than the bound tell nothing, nor do those of a process that had nothing yet. */
+/* Ends the tracked cut of a controller. A cut that was no longer than LAUNCH_AFTER_CUT_MAX_S is
+ * ignored, because the controller may launch during all of that time. If the process had no session
+ * or no complete list of records as the cut began, its launches after the cut are not checked. */
 static void end_cut(sim *simulation, sim_node *node, bool has_healed)
 {
     sim_launch_latency *latency = simulation->plan->launch_latency;
@@ -58,7 +63,7 @@
     }
 }
 
-/* Counts a launch of a task whose completion a running controller knows. */
+/* Counts a launch of a completed task if any running controller knows of the completion. */
 static void count_relaunch(sim *simulation, const mv_command *command)
 {
     if (!simulation->plan->relaunched_completed)
--- a/tests/sim_liveness.c
+++ b/tests/sim_liveness.c
@@ -1,18 +1,20 @@
 /**
- * What must come about in time once the faults are over: no job is forgotten or starved, every
- * replica of a service runs, every job ends.
+ * Liveness rules: after the faults of a run have ended, no job is forgotten or starved, every
+ * replica of a service runs, and every job ends, each within a time limit.
  */
 #include "sim_internal.h"
 
 #include "controller_probe.h"
 #include "protocol/names.h"
 
-/* A job that no controller knows is forgotten after this. */
+/* A job counts as forgotten if no controller knows the job for longer than this. */
 #define JOB_UNKNOWN_MAX_S 75
-/* A job that waits though a machine has resources for it is starved after this. */
+/* A job counts as starved if one of its tasks waits for longer than this although a machine has the
+ * resources for the task. */
 #define JOB_IDLE_MAX_S 90
 #define SERVICES_CHECK_INTERVAL_S 1
-/* The last checks of services are so close to their end. */
+/* A check of services is a last check if it runs less than this many seconds before the services
+ * are cancelled. */
 #define SERVICES_LAST_CHECKS_S 2
 
 /* --- services --- */
@@ -29,7 +31,8 @@
         sim_count_any_combination(simulation);
 }
 
-/* Messages are lost all the time, so replicas need not run together all the time. */
+/* Requires that all replicas of a service run together in at least one check. The rule does not ask
+ * for all replicas in every check, because messages are lost during the whole run. */
 void sim_check_services(sim *simulation, gpointer data)
 {
     const double end_at = simulation->plan->faults_end_at + SERVICE_OBSERVATION_S;
@@ -84,7 +87,8 @@
     return used_cores + job->cores <= MACHINE_CORES + CORES_EPSILON;
 }
 
-/* The shard that any controller has the machine in, or PROBE_NO_SHARD. */
+/* Returns the machine's shard according to the first running controller that knows the shard, or
+ * PROBE_NO_SHARD if no running controller does. */
 static int shard_of_worker(const sim *simulation, const fake_worker *worker)
 {
     for (int i = 0; i < NODES; i++) {
@@ -98,8 +102,9 @@
     return PROBE_NO_SHARD;
 }
 
-/* A machine of the job's own shard has resources for a task, or one of another shard that holds
- * nothing and so can move. */
+/* Returns whether a machine has resources for a task of the job. The machine must belong to the
+ * job's own shard, or hold no tasks, because a machine without tasks can move from another shard to
+ * the job's shard. */
 static bool any_worker_fits(const sim *simulation, const sim_job *job)
 {
     const int home_shard = job->team % (int)MAX(simulation->plan->shards, 1);
@@ -115,7 +120,7 @@
     return false;
 }
 
-/* Whether any task neither completed nor is on a machine. */
+/* Returns whether at least one task of the job has not completed and does not run on a machine. */
 static bool any_task_waits(const sim *simulation, const sim_job *job)
 {
     unsigned completed = 0;
@@ -124,7 +129,9 @@
     return sim_running_tasks(simulation, job) + completed < job->task_count;
 }
 
-/* Jobs that fail everywhere or are bound to zones may wait for other reasons. */
+/* Returns whether a task of the job waits although the team's quota and a machine have room for the
+ * task. Jobs that always fail and jobs with a zone rule do not count, because such jobs may wait
+ * for other reasons. */
 static bool is_idle(const sim *simulation, const sim_job *job)
 {
     const bool may_wait = job->always_fails || job->same_zone || job->spread_zones;
@@ -132,10 +139,10 @@
            any_worker_fits(simulation, job);
 }
 
-/* --- once a second --- */
+/* --- checks at each second --- */
 
-/* Whether a condition has lasted for longer than `max_s`. `since` is when it began, or 0 while it
- * does not hold. */
+/* Returns whether a condition has held for longer than `max_s` seconds. `since` keeps the time at
+ * which the condition began to hold, and is 0 while the condition does not hold. */
 static bool lasts_longer(const sim *simulation, bool condition, double *since, double max_s)
 {
     if (!condition)
@@ -149,9 +156,10 @@
 {
     const bool is_unknown = !known_to_any_controller(simulation, job);
     if (lasts_longer(simulation, is_unknown, &job->unknown_since, JOB_UNKNOWN_MAX_S))
-        sim_violation(simulation, "forgotten %s: no controller knows it", job->id);
+        sim_violation(simulation, "forgotten %s: no controller knows the job", job->id);
     if (lasts_longer(simulation, is_idle(simulation, job), &job->idle_since, JOB_IDLE_MAX_S))
-        sim_violation(simulation, "starved %s: it waits though there is room", job->id);
+        sim_violation(simulation, "starved %s: a task waits although a machine has room for it",
+                      job->id);
 }
 
 void sim_check_liveness(sim *simulation)
@@ -162,7 +170,8 @@
             continue;
         g_autofree char *key = g_strconcat(KEY_JOB_PREFIX, job->id, NULL);
         if (!fake_state_store_get(simulation->state, key))
-            sim_violation(simulation, "forgotten %s: no record of it", job->id);
+            sim_violation(simulation, "forgotten %s: the state store has no record of the job",
+                          job->id);
         if (simulation->now > simulation->plan->faults_end_at)
             check_waiting(simulation, job);
     }
--- a/tests/sim_run.c
+++ b/tests/sim_run.c
@@ -1,9 +1,10 @@
 /**
- * A run of the simulation: a queue of events in the order of their time, one generator of random
- * numbers, and the rules checked after each event.
+ * Executes a run of the simulation: a queue of events in the order of their times, one random
+ * number generator, and a check of the rules after each event.
  *
- * A run ends with the first broken rule, or once all faults are over and all jobs have ended. What
- * is still queued then is freed by sim_event.free_data.
+ * A run ends with the first broken rule, when all faults are over and all jobs have ended, or at
+ * the plan's deadline. The data of events that are still queued at that time is freed with
+ * sim_event.free_data.
  */
 #include "sim_internal.h"
 
@@ -99,7 +100,7 @@
         sim_count_any_combination(simulation);
 }
 
-/* --- looking up --- */
+/* --- lookups --- */
 
 sim_job *sim_job_by_id(const sim *simulation, const char *id)
 {
@@ -176,7 +177,8 @@
         event->free_data(event->data);
 }
 
-/* Frees all but the violation, which is the caller's. */
+/* Frees everything that the run owns except the violation text, which sim_run() returns to its
+ * caller. */
 static void sim_clear(sim *simulation)
 {
     g_sequence_foreach(simulation->events, free_event_data, NULL);
