--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -1,24 +1,23 @@
 /**
- * When faults come: a table of those that recur, and the ones that a plan has once or in its own
- * order. Here are also the faults of the state store and the cloud as a whole.
+ * Schedules faults: a table of the recurring faults, and the faults that a plan injects once or in
+ * a fixed order. This file also contains the faults of the whole state store and the whole cloud.
  */
 #include "sim_faults.h"
 
 #include <stddef.h>
 
-/* When a plan's first refusal of the leader comes, and for how long the refusal lasts. */
-#define FIRST_REFUSAL_S 40
-#define REFUSAL_S 14
+#define FIRST_REFUSAL_S 40 /* time at which the state store first refuses the leader */
+#define REFUSAL_S 14       /* duration of each refusal */
 #define FIRST_UPGRADE_S 30
 
-/** A fault that recurs until the plan's faults end. Intervals are drawn between a low share of the
- * mean and twice the mean. */
+/** A fault that recurs until the plan's faults end. Each interval is drawn between `low_share`
+ * times the mean and twice the mean. */
 typedef struct {
-    size_t mean_offset; /* of the mean interval in sim_plan, seconds; a mean of 0: never */
-    double low_share;   /* of the mean */
-    double pause_s;     /* added to each interval but the first */
+    size_t mean_offset; /* offset in sim_plan of the mean interval in seconds; a mean of 0: never */
+    double low_share;   /* shortest interval as a share of the mean */
+    double pause_s;     /* added to each interval except the first */
     void (*inject)(sim *simulation);
-    double (*next_interval)(sim *simulation); /* instead of these; NULL: as above */
+    double (*next_interval)(sim *simulation); /* draws the interval; NULL: drawn from the mean */
 } recurring_fault;
 
 /* --- the state store and the cloud --- */
@@ -73,9 +72,9 @@
     sim_begin_outage(simulation, simulation->plan->leader_refused_then_outage);
 }
 
-/* The state store refuses the leader alone; users go on cancelling through other controllers; then
- * it is out for all, before the leader's session is over or just after, while workers go on
- * reporting. */
+/* Makes the state store refuse only the leader, while users continue to cancel jobs through other
+ * controllers. Then an outage of the state store begins for all controllers, shortly before or
+ * after the leader's session ends, while workers continue to send heartbeats. */
 static void refuse_leader_then_outage(sim *simulation, gpointer data)
 {
     const sim_plan *plan = simulation->plan;
@@ -98,7 +97,8 @@
 
 /* --- faults that recur --- */
 
-/* The first time of each is drawn in this order, so the order belongs to every seed. */
+/* The first time of each fault is drawn in the order of this table. A change of the order therefore
+ * changes the run of every seed. */
 static const recurring_fault RECURRING_FAULTS[] = {
     {offsetof(sim_plan, crash), 0.2, 0, sim_crash_node, NULL},
     {offsetof(sim_plan, all_crash), 0.2, 0, sim_crash_all_nodes, NULL},
@@ -137,7 +137,8 @@
     const recurring_fault *fault = data;
     double interval = 0;
     fault->inject(simulation);
-    /* An interval of its own is drawn also when it is the last one. */
+    /* A fault with a next_interval function draws an interval even if the plan's faults have ended
+     * and no further occurrence is scheduled. */
     if (fault->next_interval)
         interval = fault->next_interval(simulation);
     if (simulation->now >= simulation->plan->faults_end_at)
@@ -162,7 +163,8 @@
 
 /* --- the faults of a plan --- */
 
-/* All controllers begin as the old release; one after the other comes back as the new one. */
+/* Starts all controllers as the old release, and schedules the restart of one controller after the
+ * other as the new release. */
 static void schedule_rolling_upgrade(sim *simulation)
 {
     const double interval_s = simulation->plan->rolling_upgrade;
--- a/tests/sim_faults.h
+++ b/tests/sim_faults.h
@@ -1,8 +1,9 @@
 /**
- * Faults that recur at seeded times: each function injects one, now.
+ * Faults that recur at random times drawn from the seed. Each function injects one fault at the
+ * current time and draws its duration.
  *
- * Included by sim_faults*.c alone. Whether and how often a fault comes is in the table of
- * sim_faults.c; how long it lasts is drawn here.
+ * Only sim_faults*.c include this header. The table in sim_faults.c decides whether and how often a
+ * fault occurs.
  */
 #ifndef MV_SIM_FAULTS_H
 #define MV_SIM_FAULTS_H
@@ -10,63 +11,74 @@
 
 /* --- sim_faults_processes.c: processes of controllers --- */
 
-/** One controller ends. */
+/** Ends the process of a random controller. */
 void sim_crash_node(sim *simulation);
-/** All controllers end, each for a time of its own. */
+/** Ends the processes of all controllers. The time until the restart is drawn for each controller.
+ */
 void sim_crash_all_nodes(sim *simulation);
-/** The leader ends, if there is one; in the seconds after it users cancel jobs. */
+/** Ends the leader's process, if there is a leader. If the plan asks for it, users cancel jobs in
+ * the following seconds. */
 void sim_crash_leader(sim *simulation);
-/** One controller or all are back within a fraction of a second. */
+/** Ends one controller or all controllers; each restarts within a fraction of a second. */
 void sim_quick_restart_nodes(sim *simulation);
-/** Seconds until the next of these: often so soon that no election can end. */
+/** Returns the seconds until the next quick restart. The interval is often too short for an
+ * election to complete. */
 double sim_quick_restart_interval(sim *simulation);
-/** One controller stands still for longer than its leases. */
+/** Pauses the process of a random controller for a time that can exceed the controller's leases. */
 void sim_freeze_node(sim *simulation);
-/** The log of changes does not reach back far enough: one controller lists all records anew. */
+/** Makes a random controller list all records again, as if the state store's log no longer held the
+ * changes that the controller needs. */
 void sim_relist_node(sim *simulation);
-/** An event: the controller of the index in `data` (GUINT_TO_POINTER) ends and comes back as the
- * new release. */
+/** Event handler: the controller whose index is in `data` (GUINT_TO_POINTER) ends and restarts as
+ * the new release. */
 void sim_upgrade_node(sim *simulation, gpointer data);
 
 /* --- sim_faults_links.c: links of controllers --- */
 
-/** One controller and the state store do not reach each other. */
+/** Cuts both directions between a random controller and the state store. */
 void sim_cut_node_from_state(sim *simulation);
-/** One controller and its machines do not reach each other. */
+/** Cuts both directions between a random controller and its machines. */
 void sim_cut_node_from_workers(sim *simulation);
-/** No controller reaches another. */
+/** Cuts all links between controllers. */
 void sim_cut_all_peers(sim *simulation);
-/** One controller is without state store and peers, with its workers. */
+/** Cuts a random controller off from the state store and its peers, but not from its workers. */
 void sim_isolate_node(sim *simulation);
-/** One link to the state store breaks and heals, again and again within seconds. */
+/** Breaks and heals the link of a random controller to the state store repeatedly, within seconds
+ * each time. */
 void sim_flap_link(sim *simulation);
-/** Requests to the state store are carried out, responses are lost. */
+/** Makes a random controller lose the responses of the state store, which still executes the
+ * controller's requests. */
 void sim_lose_state_responses(sim *simulation);
-/** Watches of one controller get no response; its other requests do. */
+/** Makes the watches of a random controller get no response; its other requests still do. */
 void sim_lose_watches(sim *simulation);
-/** One controller hears its peers, and is heard by none. */
+/** Makes a random controller lose all messages to its peers; messages from its peers still arrive.
+ */
 void sim_cut_outgoing_peers(sim *simulation);
-/** Half of the machines and one controller see only each other. */
+/** Cuts off a zone: half of the machines and a random controller reach only each other. */
 void sim_cut_zone(sim *simulation);
-/** The plan's schedule of cuts, instead of random ones. */
+/** Schedules the cuts that the plan lists with fixed links and times; these cuts are not random. */
 void sim_schedule_cuts(sim *simulation);
 
 /* --- sim_faults_machines.c: machines --- */
 
-/** One machine is gone for good. */
+/** Ends a random machine for good. */
 void sim_crash_machine(sim *simulation);
-/** The cloud takes a third of the spot machines at once. */
+/** Makes the cloud take back each spot machine with a probability of one third, at once and without
+ * notice. */
 void sim_reclaim_wave(sim *simulation);
-/** The cloud says when it takes a spot machine, and does. */
+/** Makes the cloud announce when it will take a random spot machine back, and take the machine back
+ * at that time. */
 void sim_reclaim_with_notice(sim *simulation);
-/** One machine reaches nobody and works on. */
+/** Cuts a random machine off from all controllers; its tasks keep running. */
 void sim_partition_machine(sim *simulation);
-/** Heartbeats of one machine arrive; commands and responses do not, for a while or for good. */
+/** Blocks the commands and responses to a random machine, for a while or for good; the machine's
+ * heartbeats still arrive. */
 void sim_block_commands(sim *simulation);
-/** Commands reach one machine, its heartbeats reach nobody. */
+/** Blocks the heartbeats of a random machine; commands still reach the machine. */
 void sim_block_heartbeats(sim *simulation);
-/** One machine does nothing for a while and goes on where it stood; its lease has run on. */
+/** Pauses a random machine for a while. Afterwards the machine continues its tasks, but the time of
+ * the pause counts toward its lease. */
 void sim_hang_machine(sim *simulation);
-/** One machine is back at once, without its tasks. */
+/** Restarts a random machine at once; the machine loses its tasks. */
 void sim_quick_restart_machine(sim *simulation);
 #endif
--- a/tests/sim_faults_links.c
+++ b/tests/sim_faults_links.c
@@ -1,15 +1,16 @@
 /** Faults of the simulated controllers' links. */
 #include "sim_faults.h"
 
-#define FLAP_COUNT 20 /* times that a flapping link breaks */
+#define FLAP_COUNT 20 /* number of times that a flapping link breaks */
 
-/** A link that still breaks so many times. */
+/** A flapping link to the state store, which breaks `remaining` more times. */
 typedef struct {
     sim_node *node;
     unsigned remaining;
 } link_flapping;
 
-/* Draws the duration, then the controller. */
+/* Cuts a link of a random controller. The duration is drawn before the controller; the order of the
+ * two draws must not change. */
 static void cut_random_node(sim *simulation, sim_link link, double duration_min,
                             double duration_max)
 {
--- a/tests/sim_faults_processes.c
+++ b/tests/sim_faults_processes.c
@@ -40,7 +40,8 @@
         sim_count_combination(simulation, SIM_CANCELLED_AT_LEADER_CHANGE);
 }
 
-/* In the seconds in which another controller takes over. */
+/* Schedules cancellations of random jobs for the next four seconds, in which another controller
+ * takes over as leader. */
 static void schedule_cancellations(sim *simulation)
 {
     const double share = simulation->plan->cancel_at_leader_change;
