--- a/tests/sim_assert.c
+++ b/tests/sim_assert.c
@@ -19,7 +19,8 @@
         g_autofree char *violation = run_seed(plan, seed);
         if (violation)
             g_error("seed %u: %s", seed, violation);
-        /* Rounds place in batches what the reference definition places one by one. */
+        /* The scheduler places tasks in batches, while the reference scheduler places tasks one by
+         * one. Both must give the same placements. */
         const unsigned mismatches = reference_mismatches();
         if (mismatches > 0)
             g_error("seed %u: %u placements differ from the reference", seed, mismatches);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,17 +1,18 @@
 /**
- * The cloud as the simulated controllers reach it: instances to be had, scale out and in, the lists
- * of machines and of types.
+ * Access of the simulated controllers to the cloud: capacity, scale-out and scale-in, and the lists
+ * of machines and machine types.
  *
- * Requests are idempotent by their name: a repeated one gets the machines of the first. The list of
- * machines lags behind by seconds.
+ * Scale-out requests are idempotent by their name: a repeated request returns the machines of the
+ * first request. The list of machines is several seconds old when it arrives.
  */
 #include "sim_internal.h"
 
 #include <string.h>
 
-#define BOOT_FAILURE_SHARE 0.05 /* of the machines, which never come up */
+#define BOOT_FAILURE_SHARE 0.05 /* share of machines that never finish booting */
 #define LISTED_AGE_S 30
-/* A machine this young that works is not returned for jobs that fail everywhere. */
+/* A machine that booted and was rented less than this many seconds ago must not be returned because
+ * of jobs that fail on every machine. */
 #define YOUNG_MACHINE_S 50
 
 static void complete(sim *simulation, sim_request *request)
@@ -19,8 +20,8 @@
     sim_request_complete(simulation, request, sim_random(simulation, 0.05, 0.3));
 }
 
-/* Whether the sender may still act as leader as its request goes out. If not, the request is not
- * carried out and ends without a response. */
+/* Returns whether the sender may still act as leader when its request is sent. If the sender may
+ * not, the cloud does not execute the request, and the request ends without a response. */
 static bool is_still_valid(sim *simulation, sim_request *request)
 {
     sim_node *node = request->node;
@@ -32,7 +33,8 @@
     return false;
 }
 
-/* In an outage the cloud answers 503 and does nothing. True: it has done so. */
+/* Answers the request with HTTP status 503 during an outage of the cloud, without executing the
+ * request. Returns true if the request was answered. */
 static bool answered_unavailable(sim *simulation, sim_request *request)
 {
     if (simulation->now >= simulation->cloud_outage_until)
@@ -42,7 +44,8 @@
     return true;
 }
 
-/* Whether the cloud acts on the request now; if not, the request is on its way elsewhere. */
+/* Returns whether the cloud executes the request now. If not, the request has already been
+ * scheduled again or completed, and the caller must not use the request any more. */
 static bool is_accepted(sim *simulation, sim_request *request, sim_event_handler handler)
 {
     return !sim_request_defer_frozen(simulation, request, handler) &&
@@ -71,7 +74,7 @@
     return sim_random(simulation, 0.5, simulation->plan->quick_boot ? 2 : 15);
 }
 
-/* One more machine, owned by the run. */
+/* Creates a machine, which the run owns. */
 static fake_worker *create_worker(sim *simulation, const mv_action *action)
 {
     g_autofree char *id = g_strdup_printf("vm-%06u", ++simulation->last_worker_number);
@@ -87,7 +90,8 @@
     return worker;
 }
 
-/* As many machines as are asked for and to be had. Returns their names, owned by the run. */
+/* Creates the requested number of machines, or fewer if the capacity of the zone is exhausted.
+ * Returns the names of the machines; the run owns the list. */
 static GPtrArray *create_instances(sim *simulation, const mv_action *action)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -118,8 +122,8 @@
 
 /* --- scale in --- */
 
-/* Whether the plan leaves every machine reachable and alive, so that none that works may be
- * returned. */
+/* Returns whether every machine stays reachable and alive under the plan. If so, a controller must
+ * not release a machine that runs a task. */
 static bool plan_exempts_machines(const sim_plan *plan)
 {
     return !plan->machine_crash && !plan->message_delay && !plan->message_loss &&
@@ -133,7 +137,7 @@
     const bool is_young = simulation->now > worker->booted_at &&
                           simulation->now < worker->rented_at + YOUNG_MACHINE_S;
     if (sim_plan_only_crashes(plan) && !plan->machine_crash && is_young)
-        sim_violation(simulation, "returned %s too soon", worker->id);
+        sim_violation(simulation, "returned %s too soon after it was rented", worker->id);
     if (!plan_exempts_machines(plan))
         return;
     for (guint i = 0; i < worker->tasks->len && !worker->gone; i++) {
--- a/tests/sim_jobs.c
+++ b/tests/sim_jobs.c
@@ -1,8 +1,9 @@
 /**
- * Users of the simulation: which jobs there are, when they are submitted, when they are cancelled.
+ * Users of the simulation: the jobs, the times of their submission and their cancellation.
  *
- * Users write to the state store as a controller would on their behalf, and are refused nothing
- * but in an outage, so a cancellation comes at the moment at which the plan wants it.
+ * Users write directly to the state store, in the way in which a controller writes on behalf of a
+ * user. Only an outage of the state store delays these writes, so a cancellation happens at the
+ * time that the plan asks for.
  */
 #include "sim_internal.h"
 
@@ -80,8 +81,9 @@
     g_array_append_val(preconditions, precondition);
 }
 
-/* Writes a job's live record (NULL: removes it) where it has this revision and no final record,
- * with the final record if there is to be one. Borrows the data. */
+/* Writes the live record of a job, or removes the live record if `live_record` is NULL. Also writes
+ * `final_record` if it is not NULL. The write succeeds only if the live record has the given
+ * revision and the job has no final record. The caller keeps the ownership of both records. */
 static bool commit_job(sim *simulation, const sim_job *job, uint64_t revision, GBytes *live_record,
                        GBytes *final_record)
 {
@@ -126,7 +128,8 @@
         sim_count_any_combination(simulation);
 }
 
-/* The user cancels at the very moment at which the last task ends, or right after. */
+/* Cancels the job at most 1.5 s after its last task has ended. Until then, checks the tasks
+ * again every 0.02 s. */
 static void cancel_at_completion(sim *simulation, gpointer data)
 {
     const sim_job *job = job_at(simulation, data);
@@ -148,7 +151,8 @@
     } else if (job->cancel_at_completion) {
         sim_schedule(simulation, 0.05, cancel_at_completion, index);
     } else if (job->cancel_after_s > 0 && plan->leader_refused_then_outage > 0) {
-        /* The fault cancels it; at the end if it came after the last one. */
+        /* The fault leader_refused_then_outage cancels the job. If the job was accepted after the
+         * last occurrence of the fault, the job is cancelled when the faults end. */
         sim_schedule(simulation, plan->faults_end_at - simulation->now, sim_cancel_job, index);
     } else if (job->cancel_after_s > 0) {
         sim_schedule(simulation, job->cancel_after_s, sim_cancel_job, index);
@@ -157,7 +161,8 @@
 
 /* --- submission --- */
 
-/* A service is accepted as controllers decide it: only where all are known to read its record. */
+/* Decides, as a controller does, whether to refuse a service: the controller accepts a service only
+ * if it knows that all controllers can read the record of a service. */
 static bool service_refused(sim *simulation)
 {
     bool any_emulates_format_1 = false;
@@ -185,9 +190,9 @@
     schedule_cancellation(simulation, job, data);
 }
 
-/* --- what the plan wants --- */
+/* --- drawing jobs from the plan --- */
 
-/* Draws only where the plan has such jobs. */
+/* Returns true with the given probability. If the probability is 0, makes no draw. */
 static bool chance_if_planned(sim *simulation, double probability)
 {
     return probability > 0 && sim_chance(simulation, probability);
@@ -209,7 +214,8 @@
     job->task_count = 1 + job->task_count % 4;
     job->cores = 2;
     job->always_fails = false;
-    job->spot = true; /* one capacity for all: idle spot machines would hold it up */
+    job->spot = true; /* Spot and other machines share one capacity. If a service could
+                       * not use spot machines, idle spot machines would block its replicas. */
 }
 
 static sim_job draw_job(sim *simulation, unsigned number)
--- a/tests/sim_links.c
+++ b/tests/sim_links.c
@@ -1,8 +1,8 @@
 /**
- * Links of the simulated controllers, and what controllers send to one another over them.
+ * Links of the simulated controllers, and the messages that controllers exchange over these links.
  *
- * A link is cut by a time until which it is cut; directions are cut one by one. Cuts do not add up:
- * a later cut of the same link replaces the time of the one before.
+ * Each link has a time until which the link is cut, and each direction can be cut on its own. Cuts
+ * do not add up: a later cut of a link replaces the end time of the earlier cut.
  */
 #include "sim_internal.h"
 
@@ -27,7 +27,7 @@
            simulation->now >= from->peer_outgoing_cut_until && simulation->now >= to->frozen_until;
 }
 
-/* A zone that is cut off holds the machines with even names and one controller. */
+/* A cut zone contains one controller and the machines whose names end in an even digit. */
 bool sim_zone_connected(const sim *simulation, const sim_node *node, const fake_worker *worker)
 {
     if (simulation->now >= simulation->zone_cut_until)
@@ -76,14 +76,16 @@
     return NULL;
 }
 
-/* Whether a message arrives at a process that runs. Draws only where the link is whole. */
+/* Returns whether a message arrives at a running process of the receiver. Makes a draw only if the
+ * receiver runs and the link is not cut. */
 static bool message_arrives(sim *simulation, const sim_node *from, const sim_node *to)
 {
     return to->running && sim_peer_reached(simulation, from, to) &&
            !sim_chance(simulation, simulation->plan->message_loss);
 }
 
-/* One controller sends its link report to another, which answers with its own. */
+/* Sends the link report of one controller to another controller, which answers with its own link
+ * report if the other controller publishes link reports. */
 static void exchange_link_reports(sim *simulation, sim_node *from, sim_node *to)
 {
     const double sent_at = sim_steady_clock(simulation, from);
--- a/tests/sim_processes.c
+++ b/tests/sim_processes.c
@@ -1,9 +1,9 @@
 /**
- * The processes of the simulated controllers: start, end, ticks, and the way of their actions.
+ * The processes of the simulated controllers: start, end, ticks, and the delivery of actions.
  *
- * An action that a controller decides becomes a sim_request, which reaches the system it is for
- * after a short delay and comes back with a response. A response to a process that has ended is
- * lost with it. While a process is frozen, what it would do or receive waits.
+ * Each action of a controller becomes a sim_request, which reaches the target system after a short
+ * delay and returns with a response. If the process that sent the request has ended, the response
+ * is lost. While a process is frozen, its steps and the messages to it wait.
  */
 #include "sim_internal.h"
 
@@ -42,7 +42,8 @@
     return true;
 }
 
-/* Actions of other kinds bring no response. */
+/* Passes the response to the controller that sent the request. The kinds of actions that are not
+ * listed here have no response. */
 static void deliver_response(sim *simulation, const sim_request *request)
 {
     mv_controller *controller = request->node->controller;
@@ -115,8 +116,9 @@
 
 /* --- processes --- */
 
-/* The settings name the state store's limits: a process that starts once these are reduced is told
- * so, unless the plan keeps it unannounced or the process is of the release before. */
+/* Sets the state store's limits in the settings of a controller. Under a plan that reduces the
+ * limits, every process of the new release gets the reduced limits in its settings from its start,
+ * unless the plan leaves them unannounced. A process of the old release gets the initial limits. */
 static void set_state_store_limits(const sim_plan *plan, sim_node *node)
 {
     const bool announced =
--- a/tests/sim_settings.c
+++ b/tests/sim_settings.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 const char *const sim_team_names[TEAM_COUNT] = {"red", "green", "blue"};
-/* At the default capacity 64 and 40. */
+/* The quotas are 64 and 40 cores at the default capacity and grow with the capacity; the third team
+ * has no quota. */
 const double sim_team_quotas[TEAM_COUNT] = {64.0 * CAPACITY / DEFAULT_CAPACITY,
                                             40.0 * CAPACITY / DEFAULT_CAPACITY, 0};
 
@@ -36,7 +37,7 @@
     }
 }
 
-/* Latency-sensitive jobs start within two seconds, nine of ten. */
+/* Sets one objective: nine of ten latency-sensitive jobs start within two seconds. */
 static void set_objectives(mv_settings *settings)
 {
     settings->objective_count = 1;
--- a/tests/sim_sites.c
+++ b/tests/sim_sites.c
@@ -1,7 +1,7 @@
 #include "sim_sites.h"
 
-/* A fleet's heartbeat interval is the one that its size calls
- * for. */
+/* Limits of a site with few machines and with a fleet. The heartbeat interval is set separately,
+ * because it depends on the number of machines. */
 #define PINE_BLUFF_LIMITS                                                                          \
     .lease_s = 32, .cancel_s = 62, .state_store_rps = 150, .state_store_write_rps = 30,            \
     .value_kb = 16, .transaction_writes = 24, .cloud_rps = 10, .machine_list_lag_s = 6,            \
--- a/tests/sim_sites.h
+++ b/tests/sim_sites.h
@@ -1,15 +1,15 @@
 /**
- * Times and limits of the sites that the service is deployed at, for simulations. A fleet is the
- * same site with more machines: its heartbeat interval is the one that its size calls for.
+ * Times and limits of the sites at which the service is deployed, for simulations. A fleet is the
+ * same site with more machines, and its longer heartbeat interval follows from its size.
  */
 #ifndef MV_SIM_SITES_H
 #define MV_SIM_SITES_H
 #include "sim.h"
 
-/** Tupelo: short leases, small transactions, work that saves checkpoints. */
+/** Tupelo: a site with short leases, small transactions, and jobs that save checkpoints. */
 extern const sim_site_profile SIM_TUPELO;
-/** Pine Bluff, with few machines and as a fleet. */
+/** Pine Bluff: the site with few machines, and the site as a fleet. */
 extern const sim_site_profile SIM_PINE_BLUFF, SIM_PINE_BLUFF_FLEET;
-/** Sapporo, with few machines and as a fleet. */
+/** Sapporo: the site with few machines, and the site as a fleet. */
 extern const sim_site_profile SIM_SAPPORO, SIM_SAPPORO_FLEET;
 #endif
--- a/tests/sim_state_store.c
+++ b/tests/sim_state_store.c
@@ -1,9 +1,9 @@
 /**
- * The state store as the simulated controllers reach it: transactions, sessions, the list of
- * records and the watch of changes.
+ * Access of the simulated controllers to the state store: transactions, sessions, the list of
+ * records and the watch for changes.
  *
- * Transactions may be delayed for up to a minute after their sender has given up on them, and may
- * be applied while their response is lost.
+ * A transaction can be delayed by up to a minute, so that the state store applies the transaction
+ * after the sender has given up. A transaction can also be applied while its response is lost.
  */
 #include "sim_internal.h"
 
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #define LEASE_CHECK_INTERVAL_S 0.05
-/* Records in a page while a controller lists anew: at least one and fewer than this. */
+/* When a controller lists all records again, a page has at least one record and fewer than this. */
 #define RELIST_PAGE_LIMIT 12
 
 /* --- transactions --- */
@@ -30,8 +30,8 @@
     return true;
 }
 
-/* Applies the transaction, if its preconditions hold, and checks what it writes. Returns an HTTP
- * status. */
+/* Applies the transaction if its preconditions hold, and checks its writes against the rules.
+ * Returns an HTTP status. */
 static int apply_transaction(sim *simulation, const sim_request *request)
 {
     const mv_action *action = request->action;
@@ -45,7 +45,8 @@
     const bool limits_announced =
         !simulation->plan->limits_unannounced && !request->node->emulates_format_1;
     if (status == SIM_HTTP_TOO_LARGE && limits_announced)
-        sim_violation(simulation, "too large: %s", simulation->state->rejected_key);
+        sim_violation(simulation, "too large: %s exceeds a limit that the controller was told",
+                      simulation->state->rejected_key);
     return status;
 }
 
@@ -63,7 +64,8 @@
     }
 }
 
-/* A delayed transaction is applied, but nobody learns of it. */
+/* Applies a delayed transaction. No controller gets the response, because the sender has already
+ * given up. */
 static void apply_delayed_transaction(sim *simulation, gpointer data)
 {
     sim_request *request = data;
@@ -96,7 +98,8 @@
                        sim_request_free);
 }
 
-/* Returns the seconds until the sender has a response, or gives up. */
+/* Applies the transaction and decides whether its response is lost. Returns the seconds until the
+ * sender gets the response or gives up. */
 static double answer_transaction(sim *simulation, sim_request *request, double delay)
 {
     const sim_plan *plan = simulation->plan;
@@ -140,7 +143,7 @@
     const double sent_at = sim_steady_clock(simulation, node);
     const bool reached = sim_state_reached(simulation, node);
     if (!reached || !sim_state_answers(simulation, node)) {
-        /* Where only the response is lost, the lease is renewed all the same. */
+        /* If only the response is lost, the state store still renews the lease. */
         if (reached && node->has_session)
             fake_lease_renew(simulation->state, node->lease_id, simulation->now);
         mv_controller_session_renewal_failed(node->controller, sent_at);
@@ -181,14 +184,15 @@
                                  record->revision);
 }
 
-/* What the cache holds and no page listed has been removed meanwhile. */
+/* Removes the cached records that are in no page of the finished list, because these records were
+ * deleted from the state store before the list ended. */
 static void remove_unlisted(sim_node *node, double now)
 {
     g_autoptr(GList) cached_keys = probe_cached_keys(node->controller);
     for (GList *link = cached_keys; link; link = link->next) {
         if (g_hash_table_contains(node->listed_keys, link->data))
             continue;
-        g_autofree char *key = g_strdup(link->data); /* the cache drops its own with the record */
+        g_autofree char *key = g_strdup(link->data); /* the cache frees its key with the record */
         mv_controller_record_changed(node->controller, now, key, NULL, 0);
     }
 }
@@ -200,8 +204,9 @@
     deliver_record(node, now, record);
 }
 
-/* One page of the list of all records: all of them at a start, a few when it is done anew, so that
- * the pages are of different times. Changes are watched from the first page on. */
+/* Reads one page of the list of all records. After a process starts, one page has all records. When
+ * a process lists all records again, each page has a few records, so the pages show the state store
+ * at different times. The watch for changes starts at the log entry after the first page. */
 static void list_page(sim *simulation, sim_node *node, double now)
 {
     g_autoptr(GList) records = g_hash_table_get_values(simulation->state->records);
@@ -219,7 +224,7 @@
             strcmp(record->key, node->last_listed_key) <= 0)
             continue;
         if (remaining-- == 0)
-            return; /* the next page has it */
+            return; /* the next page begins with this record */
         list_record(node, now, record);
     }
     remove_unlisted(node, now);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,9 +1,9 @@
 /**
- * Messages between controllers and machines: commands, heartbeats, and duplicates of both that
- * arrive late.
+ * Messages between controllers and machines: commands, heartbeats, delayed commands and delayed
+ * duplicates of heartbeats.
  *
- * A machine sends its heartbeats to one controller, goes to the next one where it gets no response,
- * and to the one that it is redirected to.
+ * A machine sends its heartbeats to one controller. If the machine gets no response, it tries the
+ * next controller; if a controller redirects the machine, it uses the controller that was named.
  */
 #include "sim_internal.h"
 
@@ -11,27 +11,28 @@
 
 #include <string.h>
 
-/** Share of the heartbeats of which a duplicate is held for the next leader. */
+/** Share of heartbeats for which a duplicate is held for the next leader. */
 #define HELD_HEARTBEAT_SHARE 0.1
-/** A machine that gets no response tries the next controller after this; sooner where the
- * connection is refused, because no process runs there. */
+/** If a machine gets no response to a heartbeat, it tries the next controller after
+ * HEARTBEAT_RETRY_S. If the controller has no running process, the connection is refused, and the
+ * machine tries the next controller after HEARTBEAT_REFUSED_RETRY_S. */
 #define HEARTBEAT_RETRY_S 4
 #define HEARTBEAT_REFUSED_RETRY_S 1
-/** While a machine boots, its step is at most this far away. */
+/** Longest interval between two steps of a machine that boots. */
 #define BOOT_STEP_MAX_S 5
 
-/** A command that reaches its machine although its sender has given up on it. */
+/** A command that reaches its machine after the sender has given up on the command. */
 typedef struct {
     char worker[MV_NAME_SIZE];
     uint64_t fencing_token, agent_epoch;
     GArray *commands; /* mv_command */
 } delayed_command;
 
-/** The response to a heartbeat on its way to the machine. */
+/** The response to a heartbeat, in flight to the machine. */
 typedef struct {
     char worker[MV_NAME_SIZE];
     uint64_t agent_epoch;
-    double sent_at; /* the heartbeat */
+    double sent_at; /* time at which the machine sent the heartbeat */
     mv_heartbeat_response response;
 } heartbeat_reply;
 
@@ -70,7 +71,9 @@
     sim_schedule_owned(simulation, delay, deliver_delayed_command, delayed, delayed_command_free);
 }
 
-/* In a queue of the controller's own, or on a slow link: carried out and answered in the end. */
+/* Delays a command once by several seconds, if a draw says so, as a queue in the controller or a
+ * slow link does. The machine later executes and answers the command. Returns true if the command
+ * was delayed. */
 static bool defer_slow(sim *simulation, sim_request *request)
 {
     if (request->delayed || !sim_chance(simulation, simulation->plan->slow_commands))
@@ -81,8 +84,8 @@
     return true;
 }
 
-/* A controller asks itself right before a command goes out whether it may still send it. True: it
- * may not, and the request is freed. */
+/* Drops a command that its sender may no longer send, as a controller checks right before it sends
+ * a command. Returns true if the command was dropped; the request is then freed. */
 static bool dropped_by_sender(sim *simulation, sim_request *request)
 {
     sim_node *node = request->node;
@@ -106,8 +109,8 @@
     return is_up && is_connected && sim_zone_connected(simulation, node, worker);
 }
 
-/* Whether the command arrives only after its sender has given up on it. Draws only for a machine
- * that exists and answers. */
+/* Returns whether the command arrives only after its sender has given up on the command. Makes a
+ * draw only if the machine is neither gone nor hung. */
 static bool command_is_delayed(sim *simulation, const sim_node *node, const fake_worker *worker)
 {
     return !worker->gone && (simulation->now < worker->hung_until ||
@@ -154,7 +157,8 @@
 
 /* --- the controller that a machine sends its heartbeats to --- */
 
-/* The fake of a machine has no field for it, so the index follows an '@' in its address. */
+/* Returns the index of the controller to which the machine sends its heartbeats. fake_worker has no
+ * field for the index, so the machine's address holds the index after an '@'. */
 static guint target_of(const fake_worker *worker)
 {
     const char *separator = strrchr(worker->address, '@');
@@ -236,7 +240,8 @@
     g_free(data);
 }
 
-/* The list of tasks has one element more than are counted, so that it is never empty. */
+/* Copies a heartbeat. The list of tasks has one element more than `task_count`, so the list is
+ * never empty. */
 static mv_heartbeat *copy_heartbeat(const mv_heartbeat *heartbeat)
 {
     mv_heartbeat *copy = g_memdup2(heartbeat, sizeof *heartbeat);
@@ -245,8 +250,8 @@
     return copy;
 }
 
-/* A duplicate arrives at any controller, perhaps long after the machine is gone. Nobody gets the
- * response. */
+/* Delivers a duplicate of a heartbeat to a random controller, possibly long after the machine is
+ * gone. The response is discarded. */
 static void deliver_duplicate(sim *simulation, gpointer data)
 {
     mv_heartbeat *heartbeat = data;
@@ -290,7 +295,7 @@
         schedule_duplicate(simulation, sim_random(simulation, 0, 0.5), g_ptr_array_index(held, i));
         sim_count_combination(simulation, SIM_DUPLICATES_FOR_NEXT_LEADER);
     }
-    /* The events own them now. */
+    /* The scheduled events own the heartbeats now, so the array must not free them. */
     g_ptr_array_set_free_func(held, NULL);
     g_ptr_array_set_size(held, 0);
     g_ptr_array_set_free_func(held, sim_heartbeat_free);
