--- a/tests/sim.h
+++ b/tests/sim.h
@@ -15,7 +15,7 @@
 
 #include "coordination/controller.h"
 
-/** The state of a run; sim_internal.h. */
+/** The state of a run, defined in sim_internal.h. */
 typedef struct sim sim;
 
 /** Combinations of faults that sim_plan.combination_count can count. With the count, a test shows
@@ -46,11 +46,11 @@
     SIM_LINKS                 /* number of links */
 } sim_link;
 
-/** One cut of a schedule. */
+/** One cut of a schedule: which link of which controller breaks, and when. */
 typedef struct {
-    unsigned node;
+    unsigned node; /* index of the controller */
     sim_link link;
-    double at, for_s;
+    double at, for_s; /* time at which the cut begins, and duration of the cut */
 } sim_cut;
 
 /** How cuts of single controllers delayed launches. The fields are sums over all cuts that lasted
@@ -107,7 +107,7 @@
     double machine_cut;           /* a machine reaches no controller */
     double block_commands;        /* heartbeats arrive; responses and commands do not */
     double isolate;               /* a controller reaches its workers, but no state store or peer */
-    double freeze;                /* a controller's process pauses, possibly beyond its leases */
+    double freeze;                /* a controller's process pauses, often beyond its leases */
     double quick_restart;         /* one or all controllers restart within a fraction of a second */
     double machine_quick_restart; /* a machine restarts at once, without its tasks */
 
--- a/tests/sim_invariants.c
+++ b/tests/sim_invariants.c
@@ -51,9 +51,10 @@
 
 /* Reports a launch on a machine whose heartbeats reach no controller, if the controllers had time
  * to detect the missing heartbeats. Detection takes two heartbeat intervals plus
- * UNREACHABLE_DETECTION_S, and after the end of a controller it starts only when another controller
- * has taken over. The rule is not checked under plans that can cut off controllers or that turn the
- * launch gate on, because a controller that is cut off cannot detect missing heartbeats. */
+ * UNREACHABLE_DETECTION_S, and after the end of a controller the detection starts only when another
+ * controller has taken over. The rule is not checked under plans that can cut off controllers or
+ * that turn the launch gate on, because a controller that is cut off cannot detect missing
+ * heartbeats. */
 static void check_launch_target(sim *simulation, const fake_worker *worker, const fake_task *task)
 {
     const sim_plan *plan = simulation->plan;
--- a/tests/sim_jobs.c
+++ b/tests/sim_jobs.c
@@ -128,8 +128,8 @@
         sim_count_any_combination(simulation);
 }
 
-/* Cancels the job at most 1.5 s after its last task has ended. Until then, checks the tasks
- * again every 0.02 s. */
+/* Checks the job's tasks every 0.02 s until the last task has ended. Then the user cancels the job,
+ * at once or up to 1.5 s later. */
 static void cancel_at_completion(sim *simulation, gpointer data)
 {
     const sim_job *job = job_at(simulation, data);
