--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -124,7 +124,7 @@
 
 /* Returns whether every machine stays reachable and alive under the plan. If so, a controller must
  * not release a machine that runs a task. */
-static bool plan_exempts_machines(const sim_plan *plan)
+static bool plan_keeps_machines_reachable(const sim_plan *plan)
 {
     return !plan->machine_crash && !plan->message_delay && !plan->message_loss &&
            !plan->machine_cut && !plan->block_commands && !plan->machine_quick_restart &&
@@ -138,7 +138,7 @@
                           simulation->now < worker->rented_at + YOUNG_MACHINE_S;
     if (sim_plan_only_crashes(plan) && !plan->machine_crash && is_young)
         sim_violation(simulation, "returned %s too soon after it was rented", worker->id);
-    if (!plan_exempts_machines(plan))
+    if (!plan_keeps_machines_reachable(plan))
         return;
     for (guint i = 0; i < worker->tasks->len && !worker->gone; i++) {
         const fake_task *task = g_ptr_array_index(worker->tasks, i);
--- a/tests/sim_faults_links.c
+++ b/tests/sim_faults_links.c
@@ -83,8 +83,8 @@
         g_free(flapping);
         return;
     }
-    const double whole_s = sim_random(simulation, 0.2, 5);
-    sim_schedule_owned(simulation, duration_s + whole_s, flap_once, flapping, g_free);
+    const double healed_s = sim_random(simulation, 0.2, 5);
+    sim_schedule_owned(simulation, duration_s + healed_s, flap_once, flapping, g_free);
 }
 
 void sim_flap_link(sim *simulation)
--- a/tests/sim_launches.c
+++ b/tests/sim_launches.c
@@ -41,11 +41,11 @@
 static void end_cut(sim *simulation, sim_node *node, bool has_healed)
 {
     sim_launch_latency *latency = simulation->plan->launch_latency;
-    const bool is_judged = simulation->now > node->cut_since + LAUNCH_AFTER_CUT_MAX_S;
-    if (latency && is_judged)
+    const bool lasted_beyond_limit = simulation->now > node->cut_since + LAUNCH_AFTER_CUT_MAX_S;
+    if (latency && lasted_beyond_limit)
         count_cut(latency, node);
     node->cut_healed_at =
-        is_judged && has_healed && node->connected_before_cut ? simulation->now : 0;
+        lasted_beyond_limit && has_healed && node->connected_before_cut ? simulation->now : 0;
     node->cut_since = 0;
 }
 
--- a/tests/sim_liveness.c
+++ b/tests/sim_liveness.c
@@ -8,10 +8,10 @@
 #include "protocol/names.h"
 
 /* A job counts as forgotten if no controller knows the job for longer than this. */
-#define JOB_UNKNOWN_MAX_S 75
+#define JOB_FORGOTTEN_AFTER_S 75
 /* A job counts as starved if one of its tasks waits for longer than this although a machine has the
  * resources for the task. */
-#define JOB_IDLE_MAX_S 90
+#define JOB_STARVED_AFTER_S 90
 #define SERVICES_CHECK_INTERVAL_S 1
 /* A check of services is a last check if it runs less than this many seconds before the services
  * are cancelled. */
@@ -155,9 +155,9 @@
 static void check_waiting(sim *simulation, sim_job *job)
 {
     const bool is_unknown = !known_to_any_controller(simulation, job);
-    if (lasts_longer(simulation, is_unknown, &job->unknown_since, JOB_UNKNOWN_MAX_S))
+    if (lasts_longer(simulation, is_unknown, &job->unknown_since, JOB_FORGOTTEN_AFTER_S))
         sim_violation(simulation, "forgotten %s: no controller knows the job", job->id);
-    if (lasts_longer(simulation, is_idle(simulation, job), &job->idle_since, JOB_IDLE_MAX_S))
+    if (lasts_longer(simulation, is_idle(simulation, job), &job->idle_since, JOB_STARVED_AFTER_S))
         sim_violation(simulation, "starved %s: a task waits although a machine has room for it",
                       job->id);
 }
