--- a/tests/sim.h
+++ b/tests/sim.h
@@ -53,13 +53,13 @@
     double at, for_s; /* time at which the cut begins, and duration of the cut */
 } sim_cut;
 
-/** How cuts of single controllers delayed launches. The fields are sums over all cuts that lasted
- * longer than LAUNCH_AFTER_CUT_MAX_S. */
+/** How cuts of single controllers held launches. Only cuts that lasted longer than
+ * LAUNCH_AFTER_CUT_MAX_S count. Except for `longest_s`, the fields are sums over these cuts. */
 typedef struct {
-    unsigned cuts;
+    unsigned cuts;         /* cuts that count */
     unsigned launched;     /* cuts during which the controller still launched a task */
-    double last_launch_s;  /* seconds from the begin of a cut to the last launch during the cut */
-    double longest_s;      /* maximum of the seconds from the begin of a cut to the last launch */
+    double last_launch_s;  /* seconds from the start of a cut to the last launch during the cut */
+    double longest_s;      /* maximum of the seconds from the start of a cut to the last launch */
     unsigned healed;       /* healed cuts after which the controller launched a task */
     double first_launch_s; /* seconds from the healing of a cut to the first launch */
 } sim_launch_latency;
