--- a/tests/sim_faults_links.c
+++ b/tests/sim_faults_links.c
@@ -1,15 +1,16 @@
 /** Faults of the simulated controllers' links. */
 #include "sim_faults.h"
 
-#define FLAP_COUNT 20 /* times that a flapping link breaks */
+#define FLAP_COUNT 20 /* number of times that a flapping link breaks */
 
-/** A link that still breaks so many times. */
+/** A flapping link to the state store, which breaks `remaining` more times. */
 typedef struct {
     sim_node *node;
     unsigned remaining;
 } link_flapping;
 
-/* Draws the duration, then the controller. */
+/* Cuts a link of a random controller. The duration is drawn before the controller; the order of the
+ * two draws must not change. */
 static void cut_random_node(sim *simulation, sim_link link, double duration_min,
                             double duration_max)
 {
@@ -82,8 +83,8 @@
         g_free(flapping);
         return;
     }
-    const double whole_s = sim_random(simulation, 0.2, 5);
-    sim_schedule_owned(simulation, duration_s + whole_s, flap_once, flapping, g_free);
+    const double healed_s = sim_random(simulation, 0.2, 5);
+    sim_schedule_owned(simulation, duration_s + healed_s, flap_once, flapping, g_free);
 }
 
 void sim_flap_link(sim *simulation)
