--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -1,11 +1,12 @@
-/** One controller on a clock of the test: settings, start, the way of its actions, time. */
+/** The controller under test: its settings, its start, the execution of its actions, and a clock
+ * that the test advances. */
 #include "controller_fixture.h"
 
 #include <string.h>
 
 #define WALL_CLOCK_START_S 1e6
 #define DEFAULT_TICK_S 0.1
-/* Digits of a machine's name follow "vm-". */
+/* Length of "vm-", which precedes the digits of a machine's name. */
 #define MACHINE_NAME_PREFIX_LENGTH 3
 
 /* --- start --- */
@@ -95,7 +96,8 @@
     return strcmp(machine, dead_machine) == 0;
 }
 
-/* The queue in which a test looks at such actions one by one; NULL: they are carried out. */
+/* Returns the queue in which the test holds actions of this kind back, in order to look at each of
+ * them; NULL if the fixture carries out actions of this kind at once. */
 static GQueue *held_queue(const controller_fixture *fixture, mv_action_kind kind)
 {
     switch (kind) {
@@ -129,7 +131,8 @@
     mv_heartbeat_clear(&heartbeat);
 }
 
-/* Actions for the cloud and for peers get no response. */
+/* Commits a transaction and executes a command. Does nothing for actions to the cloud and to peers,
+ * so the controller gets no response to them. */
 static void carry_out(controller_fixture *fixture, const mv_action *action)
 {
     if (action->kind == MV_ACTION_TRANSACTION)
@@ -178,7 +181,8 @@
     mv_controller_watch_caught_up(fixture->controller, fixture->now, fixture->now);
 }
 
-/* The machine obeys the response unless a newer owner has spoken to it. */
+/* Delivers a heartbeat of the machine to the controller. The machine executes the commands of the
+ * response unless it has seen a higher fencing token, which a newer owner of its shard issued. */
 static void send_heartbeat(controller_fixture *fixture, unsigned index)
 {
     mv_heartbeat heartbeat;
--- a/tests/controller_fixture_machines.c
+++ b/tests/controller_fixture_machines.c
@@ -1,17 +1,19 @@
-/** The machines of the fixture: they carry out every command at once, and no task may run twice. */
+/** The simulated machines of the fixture. A machine executes each command at once. The test ends if
+ * a task is launched while it already runs. */
 #include "controller_fixture.h"
 
 #include <string.h>
 
-/* Seconds until the cloud takes a machine that has its notice. */
+/* Seconds between the reclaim notice in a heartbeat and the time when the cloud takes the machine.
+ */
 #define RECLAIM_NOTICE_S 15
 #define NO_RECLAIM_NOTICE (-1)
 #define AGENT_EPOCH 1
 
 /* --- commands --- */
 
-/* Where the task is in the machine's list; NULL: the machine has never had it, or has cleared it.
- */
+/* Returns the command's task in the machine's list and sets `position` to its index. Returns NULL
+ * and leaves `position` as it is if the machine never had the task or has cleared it. */
 static mv_reported_task *find_task(const controller_fixture *fixture, unsigned index,
                                    const mv_command *command, guint *position)
 {
--- a/tests/controller_fixture_records.c
+++ b/tests/controller_fixture_records.c
@@ -1,4 +1,5 @@
-/** Records of the state store as a controller under test sees them: grants, partitions, jobs. */
+/** Records of the state store that the fixture delivers to the controller under test: grants of
+ * shards, partitions and jobs. */
 #include "controller_fixture.h"
 
 #include "controller_probe.h"
@@ -9,7 +10,7 @@
 #define TEAM_NAME "a"
 #define SUBMITTED_AT_WALL 1e6
 #define RENTED_AT_WALL 1e6
-/* In the records of fixture_lead(). */
+/* Terms in the records that fixture_lead() puts. */
 #define LEADER_TERM 3
 #define TERM_COUNTER 9
 #define FIRST_SHARD_TERM 4
