--- a/tests/controller_helpers.h
+++ b/tests/controller_helpers.h
@@ -1,9 +1,11 @@
 /**
- * Steps that the tests of single decisions share: time, the actions that a controller decides, and
- * runs with one safety check disabled. `controller_fixture.h` has the controller and its machines,
- * `controller_inspection.h` the door into the controller's structs.
+ * Helper functions that the tests of single decisions share. They advance the time, take the
+ * actions of the controller, and run a test case while one safety check is disabled.
+ * `controller_fixture.h` declares the controller under test and its machines;
+ * `controller_inspection.h` reads and writes the controller's structs.
  *
- * Nothing here keeps state. The tests have one thread.
+ * The helpers keep no state, except that measure_without() sets the disabled check for one call.
+ * Each test uses one thread.
  */
 #ifndef MV_CONTROLLER_HELPERS_H
 #define MV_CONTROLLER_HELPERS_H
@@ -14,17 +16,17 @@
 
 #include <string.h>
 
-/** Time of day of the fixtures less their steady time, seconds. */
+/** Wall-clock time of a fixture minus its steady time, in seconds. */
 static const double wall_offset_s = 1e6;
 
-/** A tick of the controller at the fixture's present time. */
+/** Runs one tick of the controller at the fixture's current time. */
 static inline void tick_controller(controller_fixture *fixture)
 {
     mv_controller_tick(fixture->controller, fixture->now, wall_offset_s + fixture->now);
 }
 
-/** Ticks go on, and nothing else reaches the controller: no heartbeat, no answer of the state
- * store. */
+/** Advances the clock and runs this number of ticks. The controller gets nothing else in this time:
+ * no heartbeat and no response of the state store. */
 static inline void pass_ticks_only(controller_fixture *fixture, unsigned ticks)
 {
     for (unsigned i = 0; i < ticks; i++) {
@@ -33,20 +35,21 @@
     }
 }
 
-/** A fixture whose controller runs and has not loaded the records yet. */
+/** Creates the machines and starts the controller, which has not loaded the records yet. */
 static inline void start_controller(controller_fixture *fixture)
 {
     fixture_create_machines(fixture);
     fixture_start(fixture);
 }
 
-/** The controller has read all records that the fixture wrote so far. */
+/** Tells the controller that the first list of records is complete. The list consists of the
+ * records that the fixture has put so far. */
 static inline void finish_loading(controller_fixture *fixture)
 {
     mv_controller_cache_loaded(fixture->controller, fixture->now);
 }
 
-/** The counters of the controller as they are now. */
+/** Returns a copy of the controller's current counters. */
 static inline mv_controller_counters read_counters(const controller_fixture *fixture)
 {
     mv_controller_counters counters;
@@ -56,10 +59,11 @@
 
 /* --- actions --- */
 
-/** What a test does with one action; the action is freed after it. */
+/** Examines one action for a test. The action is valid only during the call. */
 typedef void (*action_visitor)(controller_fixture *fixture, const mv_action *action, gpointer data);
 
-/** Takes every action that the controller has decided, in order; `visit` NULL: drops them. */
+/** Takes all actions from the controller in order, passes each of them to `visit` and frees it. If
+ * `visit` is NULL, the actions are only freed. */
 static inline void take_actions(controller_fixture *fixture, action_visitor visit, gpointer data)
 {
     mv_action *action;
@@ -70,7 +74,7 @@
     }
 }
 
-/** How many writes of a transaction are to this key; 0 for an action of another kind. */
+/** Returns the number of writes to this key in a transaction; 0 if the action is no transaction. */
 static inline unsigned count_writes(const mv_action *action, const char *key)
 {
     unsigned count = 0;
@@ -81,7 +85,8 @@
     return count;
 }
 
-/** How many writes of a transaction are to keys with this prefix; 0 for another kind. */
+/** Returns the number of writes to keys with this prefix in a transaction; 0 if the action is no
+ * transaction. */
 static inline unsigned count_writes_below(const mv_action *action, const char *prefix)
 {
     unsigned count = 0;
@@ -92,7 +97,8 @@
     return count;
 }
 
-/** How many launches a command carries, of all jobs or, with `job_id`, of one. */
+/** Returns the number of launches in an action with commands to a machine. If `job_id` is not NULL,
+ * counts only the launches of that job. */
 static inline unsigned count_launches(const mv_action *action, const char *job_id)
 {
     unsigned count = 0;
@@ -104,7 +110,8 @@
     return count;
 }
 
-/** The cloud has no machine for an instance request; every other action is left alone. */
+/** Reports to the controller that the cloud has no capacity for an instance request. Ignores every
+ * other kind of action. */
 static inline void refuse_scale_out(controller_fixture *fixture, const mv_action *action)
 {
     if (action->kind == MV_ACTION_SCALE_OUT)
@@ -112,7 +119,7 @@
                                           true);
 }
 
-/** Frees a queue of actions that the fixture held back, and the pointer to it. */
+/** Frees a queue of actions that the fixture held back, and sets the pointer to NULL. */
 static inline void free_held_actions(GQueue **held)
 {
     g_queue_free_full(*held, (GDestroyNotify)mv_action_free);
@@ -121,7 +128,7 @@
 
 /* --- records --- */
 
-/** An occupancy record that names one machine. The caller owns it. */
+/** Returns an occupancy record that names one machine. The caller owns the record. */
 static inline GBytes *pack_occupancy_of(const char *machine_id, const char *address)
 {
     mv_writer *writer = mv_writer_new();
@@ -135,7 +142,8 @@
 
 /* --- mutation testing --- */
 
-/** What `measure` returns while one safety check of the controller is disabled. */
+/** Disables one safety check of the controller, calls `measure`, enables the check again and
+ * returns the result of `measure`. */
 static inline unsigned measure_without(mv_safety_check check, unsigned (*measure)(void))
 {
     mv_disabled_check = check;
--- a/tests/controller_inspection.h
+++ b/tests/controller_inspection.h
@@ -1,14 +1,17 @@
 /**
- * The only door of the tests into the controller's structs.
+ * Access of the tests of single decisions to the controller's structs. These tests access the
+ * structs only through this header.
  *
- * Tests drive a controller through `coordination/controller.h`. What that header does not show -
- * why a machine was drained, which reserve a shard counts on - or does not allow - a state that
- * takes hours of events to come about - they read and write here, by the names of machines and jobs
- * and the numbers of shards and segments, never by a pointer into a struct. When a struct of
- * `src/coordination/` changes, this file changes and no test does.
+ * Tests drive a controller through `coordination/controller.h`. This header adds the state that
+ * `coordination/controller.h` does not show, for example why a machine was drained or which reserve
+ * a shard counts on, and functions that set a state which would otherwise take hours of events. A
+ * test names a machine or a job by its name and a shard or a segment by its number, and never holds
+ * a pointer into a struct. If a struct of `src/coordination/` changes, then only this file has to
+ * change, and no test.
  *
- * Every function ends the test when the machine, job or shard it names is not known, unless it says
- * otherwise. Nothing is owned by the caller. The tests have one thread, so no lock is needed.
+ * Unless its comment says otherwise, each function ends the test if the controller does not know
+ * the given machine, job or shard. The caller owns none of the results. Each test uses one thread,
+ * so the functions take no lock.
  */
 #ifndef MV_CONTROLLER_INSPECTION_H
 #define MV_CONTROLLER_INSPECTION_H
@@ -21,31 +24,32 @@
 
 /* --- clock, limits, commands and requests --- */
 
-/** Sets the time of the controller, steady seconds, without the work of a tick. */
+/** Sets the controller's steady clock, in seconds, without running a tick. */
 static inline void set_clock(mv_controller *controller, double now)
 {
     controller->context.clock.now = now;
 }
 
-/** Sets how many bytes a value of the state store may have. */
+/** Sets the maximum size of a value in the state store, in bytes. */
 static inline void set_value_limit(mv_controller *controller, size_t bytes)
 {
     controller->context.limits.value_bytes = bytes;
 }
 
-/** Sets how many writes a transaction of the state store may have. */
+/** Sets the maximum number of writes in a transaction of the state store. */
 static inline void set_transaction_limit(mv_controller *controller, unsigned writes)
 {
     controller->context.limits.writes = writes;
 }
 
-/** How many direct commands the controller may have in flight at once. */
+/** Returns how many direct commands the controller may have in flight at the same time. */
 static inline double inspect_command_window(const mv_controller *controller)
 {
     return controller->agents.command_window;
 }
 
-/** The cloud refuses every instance request that is known to the controller. */
+/** Reports to the controller that the cloud has no capacity for any of the controller's open
+ * instance requests. */
 static inline void refuse_instance_requests(mv_controller *controller, double now)
 {
     const GPtrArray *requests = controller->autoscaler.requests;
@@ -55,13 +59,13 @@
     }
 }
 
-/** How many machine types the controller knows. */
+/** Returns the number of machine types that the controller knows. */
 static inline unsigned inspect_machine_type_count(const mv_controller *controller)
 {
     return controller->context.catalog.types->len;
 }
 
-/** Sets how fast machines of the type with this index fetch images, GB per second. */
+/** Sets the rate at which machines of the type with this index fetch images, in GB per second. */
 static inline void set_image_fetch_rate(mv_controller *controller, unsigned type_index,
                                         double gb_per_s)
 {
@@ -72,7 +76,8 @@
 
 /* --- controllers and teams --- */
 
-/** Sets the format of records that a controller is known to read. */
+/** Sets the record format that the controller under test believes the controller `node` to read.
+ * Ends the test if the controller under test does not know `node`. */
 static inline void set_node_format(mv_controller *controller, const char *node, unsigned format)
 {
     mv_node_entry *entry = g_hash_table_lookup(controller->membership.nodes, node);
@@ -80,7 +85,8 @@
     entry->format = format;
 }
 
-/** Sets what a usual latency-sensitive job of the team asks for, in cores, and its priority. */
+/** Sets the number of cores and the priority of the team's typical latency-sensitive job, which the
+ * controller otherwise derives from the team's jobs. */
 static inline void set_latency_sensitive_job(mv_controller *controller, unsigned team_index,
                                              double cores, mv_priority priority)
 {
@@ -90,7 +96,7 @@
     team->latency_sensitive_priority = priority;
 }
 
-/** The cores that the team's tasks are allocated. */
+/** Returns the number of cores that are allocated to the team's tasks. */
 static inline double inspect_team_allocated_cores(const mv_controller *controller,
                                                   unsigned team_index)
 {
@@ -100,32 +106,38 @@
 
 /* --- machines --- */
 
-/** What tests look at in a machine: a copy, which stays as it was when the machine changes. */
+/** A copy of the machine's fields that tests examine. The copy does not change with the machine. */
 typedef struct {
-    bool known;       /* false: the controller has no such machine, and all else is 0 */
-    bool failed;      /* given up after its heartbeats stopped */
-    bool schedulable; /* tasks may be bound to it now */
+    bool known;       /* whether the controller knows the machine; if not, all other fields are 0 */
+    bool failed;      /* whether the controller declared the machine failed because its heartbeats
+                         stopped */
+    bool schedulable; /* whether the controller may bind tasks to the machine now */
     unsigned placements;
-    unsigned segment;          /* which record of its shard's partition names it */
-    double last_heartbeat_at;  /* steady seconds; 0: never */
-    uint64_t occupancy_record; /* revision of the record that says it may hold tasks; 0: none */
+    unsigned segment; /* number of the segment of the shard's partition that names the machine */
+    double last_heartbeat_at; /* steady time of the last heartbeat, seconds; 0: none arrived */
+    /* Revision of the segment's occupancy record, which names the machines that may hold tasks; 0:
+     * there is no record. */
+    uint64_t occupancy_record;
 } machine_snapshot;
 
 /** Conditions of machines that tests count. */
 typedef enum {
-    MACHINE_DRAINING,        /* not needed for the present work */
-    MACHINE_EVICTING,        /* it is emptied for services of other shards */
-    MACHINE_FAILED,          /* given up after its heartbeats stopped */
-    MACHINE_RELEASE_PENDING, /* the cloud is to take it back */
+    MACHINE_DRAINING, /* the present work does not need the machine */
+    MACHINE_EVICTING, /* the machine's tasks are evicted to make room for services of other shards
+                       */
+    MACHINE_FAILED,   /* the machine was declared failed because its heartbeats stopped */
+    MACHINE_RELEASE_PENDING, /* the machine is to be returned to the cloud */
 } machine_condition;
 
-/** For this header alone: the machine with this name, NULL if it is not known. */
+/** Returns the machine with this name; NULL if the controller does not know the machine. Only
+ * functions of this header call this function. */
 static inline mv_machine *find_machine(const mv_controller *controller, const char *id)
 {
     return g_hash_table_lookup(controller->agents.machines, id);
 }
 
-/** For this header alone: the machine with this name, which must be known. */
+/** Returns the machine with this name; ends the test if the controller does not know the machine.
+ * Only functions of this header call this function. */
 static inline mv_machine *require_machine(const mv_controller *controller, const char *id)
 {
     mv_machine *machine = find_machine(controller, id);
@@ -133,7 +145,8 @@
     return machine;
 }
 
-/** The machine as it is now; `known` is false for one that the controller does not have. */
+/** Returns a copy of the machine's current state. If the controller does not know the machine,
+ * `known` is false. */
 static inline machine_snapshot inspect_machine(const mv_controller *controller, const char *id)
 {
     const mv_machine *machine = find_machine(controller, id);
@@ -152,7 +165,8 @@
     return snapshot;
 }
 
-/** For this header alone: whether the machine is in this condition. */
+/** Returns whether the machine is in this condition. Only functions of this header call this
+ * function. */
 static inline bool machine_is(const mv_machine *machine, machine_condition condition)
 {
     switch (condition) {
@@ -168,7 +182,7 @@
     g_assert_not_reached();
 }
 
-/** How many machines are in this condition. */
+/** Returns the number of machines in the controller's rotation that are in this condition. */
 static inline unsigned count_machines(const mv_controller *controller, machine_condition condition)
 {
     const GPtrArray *machines = controller->agents.rotation;
@@ -178,38 +192,42 @@
     return count;
 }
 
-/** Makes the machine one that the cloud does not take back. */
+/** Makes the machine an on-demand machine, which the cloud does not reclaim. */
 static inline void make_on_demand(mv_controller *controller, const char *id)
 {
     require_machine(controller, id)->spot = false;
 }
 
-/** No task is launched on the machine until then, steady seconds. */
+/** Stops the controller from launching tasks on the machine until this steady time, in seconds. */
 static inline void pause_launches(mv_controller *controller, const char *id, double until)
 {
     require_machine(controller, id)->launches_paused_until = until;
 }
 
-/** Marks the machine as one that may hold tasks, as its shard's owner records it. */
+/** Marks the machine as one that may hold tasks. The owner of the machine's shard writes this mark
+ * to the occupancy record. */
 static inline void set_occupied(mv_controller *controller, const char *id)
 {
     require_machine(controller, id)->occupied = true;
 }
 
-/** The machine is offered to other shards while its occupancy record has this revision. */
+/** Declares the machine transferable to other shards as long as its occupancy record has this
+ * revision. */
 static inline void set_transferable(mv_controller *controller, const char *id,
                                     uint64_t occupancy_revision)
 {
     require_machine(controller, id)->transferable_revision = occupancy_revision;
 }
 
-/** The machine was returned to the cloud, and its partition record still names it. */
+/** Marks the machine as returned to the cloud while its partition record still names the machine.
+ */
 static inline void set_released(mv_controller *controller, const char *id)
 {
     require_machine(controller, id)->released = true;
 }
 
-/** The owner of the machine's shard said at `now` whether it needs a new term. */
+/** Stores a machine summary of the time `now`, in which the owner of the machine's shard says
+ * whether the machine needs a new term. */
 static inline void set_owner_summary(mv_controller *controller, const char *id, double now,
                                      bool needs_fencing)
 {
@@ -220,73 +238,78 @@
 
 /* --- shards and their partitions --- */
 
-/** For this header alone: the shard with this number, which must be known. */
+/** Returns the shard with this number; ends the test if the controller does not know the shard.
+ * Only functions of this header call this function. */
 static inline mv_shard *require_shard(const mv_controller *controller, unsigned index)
 {
     g_assert_cmpuint(index, <, controller->context.shards->len);
     return g_ptr_array_index(controller->context.shards, index);
 }
 
-/** How many shards the controller knows. */
+/** Returns the number of shards that the controller knows. */
 static inline unsigned inspect_shard_count(const mv_controller *controller)
 {
     return controller->context.shards->len;
 }
 
-/** Whether the controller owns the shard now. */
+/** Returns whether the controller owns the shard now. */
 static inline bool inspect_shard_owned(const mv_controller *controller, unsigned index)
 {
     return mv_shard_is_owned(&controller->context, require_shard(controller, index));
 }
 
-/** How many teams have their home in the shard. */
+/** Returns the number of teams that have their home in the shard. */
 static inline unsigned inspect_shard_team_count(const mv_controller *controller, unsigned index)
 {
     const GPtrArray *teams = require_shard(controller, index)->holder.teams;
     return teams ? teams->len : 0;
 }
 
-/** The capacity that the shard keeps in reserve for replicas. */
+/** Returns the capacity that the shard keeps in reserve for replicas of services. */
 static inline mv_resource_demand inspect_reserve(const mv_controller *controller, unsigned index)
 {
     return require_shard(controller, index)->reserve;
 }
 
-/** How many replicas its machines in reserve have room for. */
+/** Returns the number of replicas for which the shard's reserved machines have room. */
 static inline unsigned inspect_reserve_slots(const mv_controller *controller, unsigned index)
 {
     return require_shard(controller, index)->reserve_slots;
 }
 
-/** Whether the machine may go although the shard counts on it as a reserve; if so, it counts on it
- * no longer. */
+/** Releases the machine from the shard's reserve if the reserve can do without the machine. Returns
+ * whether the machine was released. */
 static inline bool release_from_reserve(mv_controller *controller, unsigned index, const char *id)
 {
     return mv_services_release_machine(&controller->context, require_shard(controller, index),
                                        require_machine(controller, id));
 }
 
-/** No write of the shard's partition, and none with a new term, is in flight any more. */
+/** Makes the controller forget the transactions in flight that write the shard's partition or raise
+ * the term. */
 static inline void forget_partition_writes(mv_controller *controller, unsigned index)
 {
     require_shard(controller, index)->partition_transaction = (mv_transaction_slot){0};
     controller->membership.term_transaction = (mv_transaction_slot){0};
 }
 
-/** A segment of the shard's partition has to be written anew. */
+/** Marks a segment of the shard's partition as one that has to be written again. Creates the
+ * segment if the shard has no segment with this number. */
 static inline void request_segment_write(mv_controller *controller, unsigned index,
                                          unsigned segment)
 {
     mv_shard_segment(require_shard(controller, index), segment)->needs_write = true;
 }
 
-/** The leader looks for what has to be written of the shard's partition. */
+/** Lets the leader reconcile the shard's partition with the records in its state cache. The leader
+ * determines which joining machines and which segments it still has to write. */
 static inline void reconcile_partition(mv_controller *controller, unsigned index)
 {
     mv_partition_reconcile(&controller->membership, require_shard(controller, index));
 }
 
-/** The leader writes the shard's partition; whether there was something to write. */
+/** Lets the leader write the segments of the shard's partition that have to be written. Returns
+ * whether the leader created a transaction. */
 static inline bool write_partition(mv_controller *controller, unsigned index)
 {
     return mv_partition_write(&controller->membership, require_shard(controller, index));
@@ -294,7 +317,8 @@
 
 /* --- jobs --- */
 
-/** For this header alone: the job with this name, which must be known. */
+/** Returns the job with this name; ends the test if the controller does not know the job. Only
+ * functions of this header call this function. */
 static inline mv_job *require_job(const mv_controller *controller, const char *id)
 {
     mv_job *job = g_hash_table_lookup(controller->jobs.by_id, id);
@@ -302,25 +326,26 @@
     return job;
 }
 
-/** A task of the job was seen to be done. */
+/** Reports to the controller that a task of the job is done. */
 static inline void complete_task(mv_controller *controller, const char *id, uint32_t task)
 {
     mv_job_task_completed(&controller->jobs, require_job(controller, id), task);
 }
 
-/** How many tasks of the job are recorded as done. */
+/** Returns the number of the job's tasks that the state store records as done. */
 static inline unsigned inspect_recorded_tasks(const mv_controller *controller, const char *id)
 {
     return require_job(controller, id)->tasks_recorded;
 }
 
-/** How many completion records of the job the controller knows. */
+/** Returns the number of the job's completion records that the controller knows. */
 static inline unsigned inspect_completion_records(const mv_controller *controller, const char *id)
 {
     return g_hash_table_size(require_job(controller, id)->chunk_revisions);
 }
 
-/** How many completion records without a job the controller knows. */
+/** Returns the number of completion records that the controller knows although it knows no job for
+ * them. */
 static inline unsigned inspect_orphaned_records(const mv_controller *controller)
 {
     return g_hash_table_size(controller->jobs.orphaned_chunks);
