--- a/tests/controller_probe.c
+++ b/tests/controller_probe.c
@@ -1,4 +1,4 @@
-/** Access of the tests to the state of a controller. */
+/** Read access of the simulation and of the fixture to the state of a controller. */
 #include "controller_probe.h"
 
 #include "coordination/controller/controller_internal.h"
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -1,9 +1,11 @@
 /**
- * Three real processes on loopback with their fakes, and users of them: starting and killing nodes,
- * submissions, polls and cancellations at node after node.
+ * Three real controller processes on loopback, with fakes of the systems around them. The functions
+ * start and kill the processes and act as users, who submit, poll and cancel jobs and send each
+ * retry to the next node.
  *
- * For one test program: `environment` and `cluster` are its own, set by start_cluster. Any thread
- * may send requests and pack their bodies; everything else is for the main thread.
+ * The header serves one test program, which has its own `environment` and `cluster`;
+ * start_cluster() sets them. Any thread may send requests and pack their bodies; only the main
+ * thread may call the other functions.
  */
 #ifndef MV_PROCESS_CLUSTER_H
 #define MV_PROCESS_CLUSTER_H
@@ -22,31 +24,32 @@
 
 #define NODES 3
 #define STEP_MS 100
-#define STEPS_MAX 1200 /* that anything may take, however slow the machine */
+/** Maximum number of polls before a test fails, which suffices on a slow machine too. */
+#define STEPS_MAX 1200
 #define REQUEST_TIMEOUT_MS 5000
 #define PATH_SIZE 80
 #define STATUS_SIZE 40
 #define JOB_TASKS 12
 #define SERVICE_REPLICAS 3
 
-/** One in so many transactions is above the limit for writes, without notice: it is not carried
- * out, and everything here has to come about all the same. */
+/** The fake state store refuses every sixth transaction as above the rate limit and does not carry
+ * it out. The controllers get no notice beforehand, and the tests still have to pass. */
 #define REFUSED_EVERY 6
 
-/** The fakes of state store, cloud and agents. */
+/** The fakes of the state store, the cloud and the agents. */
 static mv_environment *environment;
-/** The processes. */
+/** The controller processes. */
 static mv_controller_cluster *cluster;
 
 /* --- processes --- */
 
-/** Starts the process of a node. */
+/** Starts the process of a node; ends the test if the process cannot be started. */
 static inline void start_node(unsigned index)
 {
     g_assert_true(mv_cluster_start_node(cluster, index));
 }
 
-/** Kills all processes, without any notice. */
+/** Kills the processes of all nodes without a chance to shut down. */
 static inline void kill_all_nodes(void)
 {
     for (unsigned i = 0; i < NODES; i++)
@@ -60,7 +63,7 @@
         start_node(i);
 }
 
-/** The pause between two polls of the same thing. */
+/** Waits for the interval between two polls. */
 static inline void wait_step(void)
 {
     g_usleep(STEP_MS * 1000);
@@ -68,7 +71,8 @@
 
 /* --- users --- */
 
-/** The HTTP status of one request at one node; `status` gets the job's status, if there is one. */
+/** Sends one request to one node and returns the HTTP status; 0 if there is no response. Writes the
+ * job's status from the response to `status`, or "" if the response has none. */
 static inline int send_request(unsigned node, const char *method, const char *path, GBytes *body,
                                char status[STATUS_SIZE])
 {
@@ -76,7 +80,7 @@
                            status, STATUS_SIZE);
 }
 
-/** A batch job whose tasks run for two seconds. */
+/** Returns a batch job whose tasks have an estimated runtime of two seconds. */
 static inline mv_job_spec usual_job(const char *id, const char *team_name, double cores)
 {
     mv_job_spec spec = {.priority = MV_PRIORITY_STANDARD,
@@ -93,7 +97,7 @@
     return spec;
 }
 
-/** The body of a submission. The caller owns it. */
+/** Returns the body of the submission of a job. The caller owns the body. */
 static inline GBytes *pack_submission(const mv_job_spec *spec)
 {
     mv_writer *writer = mv_writer_new();
@@ -101,14 +105,14 @@
     return mv_writer_finish(writer);
 }
 
-/** The submission of a job. The caller owns it. */
+/** Returns the body of the submission of a usual_job(). The caller owns the body. */
 static inline GBytes *pack_job(const char *id, const char *team_name, double cores)
 {
     const mv_job_spec spec = usual_job(id, team_name, cores);
     return pack_submission(&spec);
 }
 
-/** The submission of a service of the team "red". The caller owns it. */
+/** Returns the body of the submission of a service of the team "red". The caller owns the body. */
 static inline GBytes *pack_service(const char *id, double cores)
 {
     mv_job_spec spec = usual_job(id, "red", cores);
@@ -118,13 +122,14 @@
     return pack_submission(&spec);
 }
 
-/** The path under which a job is polled. */
+/** Writes the URL path under which users poll the job to `path`. */
 static inline void format_job_path(char path[PATH_SIZE], const char *id)
 {
     g_snprintf(path, PATH_SIZE, WIRE_JOBS_PATH "/%s", id);
 }
 
-/** Repeats a request at node after node until the HTTP status is one of the two; which it is. */
+/** Sends a request to one node after another until the HTTP status is one of the two expected ones,
+ * and returns that HTTP status. Ends the test after STEPS_MAX requests. */
 static inline int request_until_either(const char *method, const char *path, GBytes *body,
                                        int expected, int also_expected, char status[STATUS_SIZE])
 {
@@ -134,17 +139,19 @@
             return code;
         wait_step();
     }
-    g_error("%s %s: no answer %d or %d", method, path, expected, also_expected);
+    g_error("%s %s: no node returned HTTP status %d or %d", method, path, expected, also_expected);
 }
 
-/** Repeats a request at node after node until it gets this HTTP status. */
+/** Sends a request to one node after another until the HTTP status is the expected one. Ends the
+ * test after STEPS_MAX requests. */
 static inline void request_until(const char *method, const char *path, GBytes *body, int expected)
 {
     char status[STATUS_SIZE];
     request_until_either(method, path, body, expected, expected, status);
 }
 
-/** Submits a usual job of the team "red" until a node accepts it. */
+/** Submits a usual_job() of the team "red" to one node after another until a node accepts the job.
+ */
 static inline void submit(const char *id)
 {
     char status[STATUS_SIZE];
@@ -152,7 +159,7 @@
     request_until_either("POST", WIRE_JOBS_PATH, body, 201, 200, status);
 }
 
-/** Cancels the job; `status` gets what its user is told. */
+/** Cancels the job and writes the job's status from the response to `status`. */
 static inline void cancel(const char *id, char status[STATUS_SIZE])
 {
     char path[PATH_SIZE];
@@ -160,29 +167,32 @@
     request_until_either("POST", path, NULL, 200, 200, status);
 }
 
-/** Polls node after node until the job has this status; it is never unknown meanwhile. */
+/** Polls one node after another until the job has this status. Ends the test after STEPS_MAX polls,
+ * or if a node answers that the job is unknown. */
 static inline void wait_for_status(const char *id, const char *expected)
 {
     char path[PATH_SIZE], status[STATUS_SIZE] = "";
     format_job_path(path, id);
     for (unsigned step = 0; step < STEPS_MAX; step++) {
         const int code = send_request(step % NODES, "GET", path, NULL, status);
-        g_assert_cmpint(code, !=, 404); /* an accepted job is never forgotten */
+        g_assert_cmpint(code, !=, 404); /* the controllers must not lose an accepted job */
         if (code == 200 && strcmp(status, expected) == 0)
             return;
         wait_step();
     }
-    g_error("%s is not %s", id, expected);
+    g_error("job %s did not reach the status %s", id, expected);
 }
 
-/** Polls node after node until the job is done. */
+/** Polls one node after another until the job is done. */
 static inline void wait_done(const char *id)
 {
     wait_for_status(id, WIRE_DONE);
 }
 
-/** Starts the fakes, lets `fill_store` write to the state store, and starts the processes. The
- * caller keeps `directory`, where the processes have their files, until stop_cluster. */
+/** Starts the fakes, calls `fill_store` to write to the state store, and starts the processes. The
+ * processes keep their files in `directory`, which the caller must not remove before
+ * stop_cluster().
+ */
 static inline void start_cluster(const char *directory, void (*fill_store)(void))
 {
     const mv_environment_options environment_options = {.machines = 4,
@@ -212,7 +222,7 @@
     }
 }
 
-/** Ends what start_cluster started. */
+/** Stops the fakes, kills the processes and removes their files. */
 static inline void stop_cluster(void)
 {
     mv_environment_stop(environment);
--- a/tests/reference_scheduler.c
+++ b/tests/reference_scheduler.c
@@ -7,7 +7,8 @@
 
 static unsigned mismatches;
 
-/* One task's machine by the definition, without the batches below. */
+/* Returns the machine that the reference definition chooses for one task of the job; NULL if no
+ * machine has room. The function scores each machine anew and does not bind in batches. */
 static const mv_machine *choose_by_definition(const mv_scheduler *scheduler, mv_job *job)
 {
     const GPtrArray *rotation = scheduler->agents->rotation;
--- a/tests/submission_builder.h
+++ b/tests/submission_builder.h
@@ -1,8 +1,9 @@
 /**
- * Submissions for the tests of the codec: a sound one, and the same with one field left out or
- * replaced by a value that is not allowed. Functions named `write_...` write such a value.
+ * Builds submissions for the tests of the codec: a valid submission, or a submission in which one
+ * field is missing or has another value. The functions named `write_...` write the values to
+ * replace a valid one; most of these values are not allowed.
  *
- * The fields are those of POST /v2/runs on the protocol page. Nothing here keeps state.
+ * The fields are those of POST /v2/runs in the protocol documentation. The functions keep no state.
  */
 #ifndef MV_SUBMISSION_BUILDER_H
 #define MV_SUBMISSION_BUILDER_H
@@ -65,7 +66,8 @@
     mv_write_text(writer, "gang");
 }
 
-/** Our word for a service, which is not the wire's. */
+/** Writes the name of the service shape in the source code, which differs from its name in the
+ * protocol. */
 static inline void write_internal_service_shape(mv_writer *writer)
 {
     mv_write_text(writer, "service");
@@ -76,8 +78,9 @@
     mv_write_text(writer, WIRE_SERVICE);
 }
 
-/** For this header alone: fields of text, of numbers and of truth values, and fields that may be
- * null. With `tasks` they are all fields of a submission. */
+/** The fields of a submission by type: texts with a valid value, numbers, booleans, and fields that
+ * may be null. Together with WIRE_TASKS they are all fields of a submission. Only this header uses
+ * these lists. */
 static const char *const submission_texts[][2] = {
     {WIRE_ID, "j-000412"},    {WIRE_CLASS, "train"},      {WIRE_TEAM, "vision"},
     {WIRE_SHAPE, WIRE_BATCH}, {WIRE_PRIORITY, WIRE_HIGH}, {WIRE_IMAGE, "img-07"}};
@@ -94,7 +97,8 @@
     (G_N_ELEMENTS(submission_texts) + G_N_ELEMENTS(submission_numbers) +                           \
      G_N_ELEMENTS(submission_flags) + G_N_ELEMENTS(submission_nullable) + 1)
 
-/** For this header alone: all fields but `except`, with sound values. */
+/** Writes all fields except the field `except` with valid values. Only pack_submission() calls this
+ * function. */
 static inline void write_sound_fields(mv_writer *writer, const char *except)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(submission_texts); i++)
@@ -116,9 +120,9 @@
     }
 }
 
-/** A submission that is sound but for the field `replaced`, which `write_value` writes instead;
- * NULL: the field is left out. With `replaced` NULL all of it is sound. The caller owns the bytes.
- */
+/** Returns a submission. If `replaced` is NULL, all fields are valid. Otherwise `write_value`
+ * writes the value of the field `replaced`; if `write_value` is NULL, the field is left out. The
+ * caller owns the bytes. */
 static inline GBytes *pack_submission(const char *replaced, value_writer write_value)
 {
     mv_writer *writer = mv_writer_new();
