--- a/tests/behavior_fingerprint.c
+++ b/tests/behavior_fingerprint.c
@@ -1,4 +1,4 @@
-/** Each field of an action or a response goes into the hash as text, in a fixed order. */
+/** Feeds each field of an action or a response to the hash as text, in a fixed order. */
 #include "behavior_fingerprint.h"
 
 #include <inttypes.h>
@@ -6,7 +6,8 @@
 
 /* --- values --- */
 
-/* Each value ends with a separator, so that two values never read like one. */
+/* Feeds a text and a separator. The separator ends each value, so two adjacent values cannot be
+ * mistaken for a single one. */
 static void feed_text(behavior_fingerprint *fingerprint, const char *text)
 {
     g_checksum_update(fingerprint->hash, (const guchar *)text, (gssize)strlen(text));
@@ -27,7 +28,8 @@
     feed_text(fingerprint, text);
 }
 
-/* The length goes before the bytes; what is removed has neither. */
+/* Feeds the data of a write: its length, then its bytes. A write that removes a key has no data, so
+ * "none" is fed instead. */
 static void feed_bytes(behavior_fingerprint *fingerprint, GBytes *bytes)
 {
     if (!bytes) {
@@ -42,7 +44,8 @@
     feed_text(fingerprint, "");
 }
 
-/* Feeds how many elements follow; 0 for no array, which is told apart. */
+/* Feeds the number of elements and returns it. If there is no array, feeds "none" and returns 0, so
+ * the hash differs between a missing and an empty array. */
 static guint feed_length(behavior_fingerprint *fingerprint, const GArray *array)
 {
     if (!array) {
@@ -168,7 +171,8 @@
         feed_machine_summary(fingerprint, &g_array_index(demand->machines, mv_machine_summary, i));
 }
 
-/* All fields, whatever the kind of the action: one that is set needlessly is behaviour too. */
+/* Feeds all fields of the action, including those that its kind does not use. If a controller sets
+ * such a field needlessly, that is part of the behaviour too. */
 static void feed_action(gpointer user, unsigned node, double now, const mv_action *action)
 {
     behavior_fingerprint *fingerprint = user;
--- a/tests/behavior_fingerprint.h
+++ b/tests/behavior_fingerprint.h
@@ -1,26 +1,29 @@
 /**
- * A hash over everything that the controllers of a run decide: every action and every response to a
- * heartbeat, with the time and the controller. Two builds that give the same hash for a seed decide
- * the same, byte for byte of every record and command.
+ * A hash over all decisions of the controllers in a run of the simulation: each action and each
+ * response to a heartbeat, with the time and the number of the controller. If two builds have the
+ * same hash for a plan and a seed, then their controllers make the same decisions, and each record
+ * and each command is the same byte for byte.
  *
- * Names of C identifiers and addresses in memory do not count; names in records do.
+ * C identifiers and memory addresses do not enter the hash; names in records do.
  */
 #ifndef MV_BEHAVIOR_FINGERPRINT_H
 #define MV_BEHAVIOR_FINGERPRINT_H
 #include "sim.h"
 
 typedef struct {
-    sim_observer witness; /* for sim_plan.witness of one run */
+    sim_observer witness; /* the observer to set as sim_plan.witness of one run */
     GChecksum *hash;
-    unsigned long actions, responses; /* how many went into it */
+    unsigned long actions, responses; /* numbers of actions and of responses in the hash */
 } behavior_fingerprint;
 
-/** The caller frees it with behavior_fingerprint_free(), after the run that it witnesses. */
+/** Returns a new fingerprint for one run. The caller frees the fingerprint with
+ * behavior_fingerprint_free() after the run has ended. */
 behavior_fingerprint *behavior_fingerprint_new(void);
 /** Frees the fingerprint and its text. */
 void behavior_fingerprint_free(behavior_fingerprint *fingerprint);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(behavior_fingerprint, behavior_fingerprint_free)
 
-/** The hash in hexadecimal digits, owned by the fingerprint. Nothing may be added after it. */
+/** Returns the hash in hexadecimal digits. The fingerprint owns the text. After this call the
+ * fingerprint must not observe any further action or response. */
 const char *behavior_fingerprint_text(behavior_fingerprint *fingerprint);
 #endif
--- a/tests/behavior_plans.c
+++ b/tests/behavior_plans.c
@@ -1,20 +1,22 @@
 /**
- * The plans of the fingerprint: recurring faults of every kind, the sites, services and upgrades,
- * cuts with the launch gate on and off. A fault that no plan here has is not covered by the
- * fingerprint.
+ * The plans of the behaviour fingerprint. They contain recurring faults of every kind, the site
+ * profiles, services, rolling upgrades, and partitions of links with the launch gate on and off.
+ * The fingerprint does not cover a fault that none of these plans contains.
  */
 #include "behavior_plans.h"
 
 #include "sim_sites.h"
 
-/* Two links at once, then an outage for everybody, then single directions. */
+/* First two links of one controller fail at the same time, then one link to the agents fails, then
+ * the state store is out for all controllers, then single directions of links fail. */
 static const sim_cut SCHEDULE[] = {
     {0, SIM_LINK_STATE, 20, 8},          {0, SIM_LINK_PEERS, 20, 12},
     {1, SIM_LINK_WORKERS, 35, 5},        {0, SIM_LINK_ALL_STATE, 50, 10},
     {2, SIM_LINK_WATCHES, 70, 14},       {1, SIM_LINK_STATE_RESPONSES, 85, 9},
     {2, SIM_LINK_PEERS_OUTGOING, 95, 12}};
 
-/* An odd number of plans: so each is run with one shard and with three. */
+/* The runs take the plans in turn and alternate between one shard and three shards. The number of
+ * plans is odd, so each plan is run with one shard and with three shards. */
 static const behavior_plan PLANS[] = {
     {"rough",
      {.crash = 35,
--- a/tests/measure_behavior.c
+++ b/tests/measure_behavior.c
@@ -1,19 +1,20 @@
 /**
- * A fingerprint of behaviour: 30 seeded runs of the simulation, and for each a hash over every
- * action of every controller and every response to a heartbeat. A change that is to change no
- * behaviour leaves all lines as they are. Run by hand, not by CI:
+ * Prints the behaviour fingerprint: for each of 30 seeded runs of the simulation, a hash over every
+ * action of every controller and every response to a heartbeat. A change that must not change the
+ * behaviour leaves all lines the same. Developers run the program by hand; CI does not run it:
  *
  *     measure_behavior [RUNS [JOBS]]
  *
- * RUNS: the first so many of the 30, for a short check; JOBS: processes side by side (1). Without
- * RUNS the output is compared with tests/behavior_fingerprint.txt:
+ * RUNS is the number of runs, counted from the first, for a short check (default: all 30). JOBS is
+ * the number of processes that work at the same time (default: 1). The output of all 30 runs is
+ * compared with the recorded fingerprint:
  *
  *     measure_behavior 30 3 | diff tests/behavior_fingerprint.txt -
  *     measure_behavior_fleet 30 3 | diff tests/behavior_fingerprint_fleet.txt -
  *
- * A line: plan, seed, number of actions, number of responses, whether every rule of the simulation
- * held (what was broken goes to the standard error), hash. The last line is one hash over the lines
- * before.
+ * Each line consists of the plan's name, the seed, the number of actions, the number of responses,
+ * "sound" if every rule of the simulation held or else "broken", and the hash. The program writes
+ * the rule that was broken to the standard error. The last line is a hash over all lines before it.
  */
 #include "behavior_fingerprint.h"
 #include "behavior_plans.h"
@@ -34,7 +35,7 @@
 #define RUNS_MAX 30
 #define LINE_SIZE 160
 
-/* Writes the line of one run, counted from 0; its seed is counted from 1. */
+/* Executes a run and writes its line. The first run has the number 0 and the seed 1. */
 static void measure(unsigned run, char line[LINE_SIZE])
 {
     g_autoptr(behavior_fingerprint) fingerprint = behavior_fingerprint_new();
@@ -49,7 +50,8 @@
                behavior_fingerprint_text(fingerprint));
 }
 
-/* Runs every `step`-th run from `first` on, in a process of its own. */
+/* Starts a child process that executes the run `first` and every `step`-th run after it. The child
+ * writes its lines to `lines`, which the processes share. */
 static pid_t start_process(char (*lines)[LINE_SIZE], unsigned runs, unsigned first, unsigned step)
 {
     pid_t child = fork();
@@ -65,7 +67,8 @@
     _exit(EXIT_SUCCESS);
 }
 
-/* Whether all runs came to their end. */
+/* Executes the runs in child processes and waits for them. Returns whether all child processes
+ * ended successfully. */
 static bool run_processes(char (*lines)[LINE_SIZE], unsigned runs, unsigned processes)
 {
     pid_t children[RUNS_MAX];
@@ -92,7 +95,7 @@
     g_checksum_free(total);
 }
 
-/* A whole number from 1 to RUNS_MAX; 0 for anything else. */
+/* Returns the whole number in `text` if it is from 1 to RUNS_MAX; otherwise 0. */
 static unsigned parse_number(const char *text)
 {
     guint64 number = 0;
@@ -119,7 +122,7 @@
     if (all_ended)
         print_lines(lines, runs);
     else
-        fprintf(stderr, "measure_behavior: a run did not come to its end\n");
+        fprintf(stderr, "measure_behavior: a child process failed before its runs ended\n");
     munmap(lines, size);
     return all_ended ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/measure_network_partitions.c
+++ b/tests/measure_network_partitions.c
@@ -1,7 +1,8 @@
 /**
- * Measures, over many seeds of the simulation, how long a controller that is cut off goes on
- * launching tasks and how soon it launches some again, with the launch gate and without. Run by
- * hand, not by CI: the figures are in docs/MEASUREMENTS.md.
+ * Measures two times over many seeds of the simulation, with the launch gate on and off: how long a
+ * controller launches tasks after a network partition has begun, and how soon the controller
+ * launches a task after the partition has healed. Developers run the program by hand; CI does not
+ * run it. The figures are in docs/MEASUREMENTS.md.
  */
 #include "sim.h"
 
@@ -19,7 +20,8 @@
     return count ? sum / count : 0;
 }
 
-/* Prints one row. */
+/* Runs the plan with each seed, with one shard for odd seeds and three shards for even seeds, and
+ * prints a row with the sums and means over all seeds. */
 static void measure(const char *fault, sim_plan plan, bool launch_gate)
 {
     sim_launch_latency latency = {0};
