--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -110,10 +110,10 @@
     }
 }
 
-static void leave_unanswered(controller_fixture *fixture, const mv_action *action)
+static void add_unanswered_command(controller_fixture *fixture, const mv_action *action)
 {
     const unanswered_command unanswered = {
-        .id = action->id, .gives_up_at = fixture->now + action->timeout_ms / 1000.0};
+        .id = action->id, .times_out_at = fixture->now + action->timeout_ms / 1000.0};
     g_queue_push_tail(fixture->unanswered_commands, g_memdup2(&unanswered, sizeof unanswered));
 }
 
@@ -133,13 +133,13 @@
 
 /* Commits a transaction and executes a command. Does nothing for actions to the cloud and to peers,
  * so the controller gets no response to them. */
-static void carry_out(controller_fixture *fixture, const mv_action *action)
+static void execute_action(controller_fixture *fixture, const mv_action *action)
 {
     if (action->kind == MV_ACTION_TRANSACTION)
         mv_controller_transaction_completed(fixture->controller, fixture->now, action->id,
                                             MV_TRANSACTION_COMMITTED);
     else if (action->kind == MV_ACTION_COMMAND && is_dead(fixture, action->machine))
-        leave_unanswered(fixture, action);
+        add_unanswered_command(fixture, action);
     else if (action->kind == MV_ACTION_COMMAND)
         answer_command(fixture, action);
 }
@@ -153,16 +153,16 @@
             g_queue_push_tail(held, action);
             continue;
         }
-        carry_out(fixture, action);
+        execute_action(fixture, action);
         mv_action_free(action);
     }
 }
 
-static void give_up_commands(controller_fixture *fixture)
+static void fail_timed_out_commands(controller_fixture *fixture)
 {
     for (guint n = g_queue_get_length(fixture->unanswered_commands); n > 0; n--) {
         unanswered_command *unanswered = g_queue_pop_head(fixture->unanswered_commands);
-        if (fixture->now < unanswered->gives_up_at) {
+        if (fixture->now < unanswered->times_out_at) {
             g_queue_push_tail(fixture->unanswered_commands, unanswered);
             continue;
         }
@@ -207,7 +207,7 @@
     while (fixture->now < until) {
         fixture_advance_idle(fixture, tick_s);
         tick(fixture);
-        give_up_commands(fixture);
+        fail_timed_out_commands(fixture);
         fixture_run_actions(fixture);
         fixture->heartbeats_due += heartbeats_per_tick;
         for (; fixture->heartbeats_due >= 1; fixture->heartbeats_due--) {
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -80,7 +80,7 @@
 /** A command to the dead machine, which fails when its timeout ends. */
 typedef struct {
     uint64_t id; /* ID of the action */
-    double gives_up_at;
+    double times_out_at;
 } unanswered_command;
 
 /* --- start and end --- */
--- a/tests/controller_fixture_machines.c
+++ b/tests/controller_fixture_machines.c
@@ -54,7 +54,7 @@
     g_hash_table_remove(fixture->running_tasks, task_name);
 }
 
-static void obey_command(controller_fixture *fixture, unsigned index, const mv_command *command)
+static void execute_command(controller_fixture *fixture, unsigned index, const mv_command *command)
 {
     guint position = 0;
     mv_reported_task *task = find_task(fixture, index, command, &position);
@@ -73,7 +73,7 @@
 void fixture_execute_commands(controller_fixture *fixture, unsigned index, const GArray *commands)
 {
     for (guint i = 0; commands && i < commands->len; i++)
-        obey_command(fixture, index, &g_array_index(commands, mv_command, i));
+        execute_command(fixture, index, &g_array_index(commands, mv_command, i));
 }
 
 /* --- heartbeats --- */
--- a/tests/reference_scheduler.c
+++ b/tests/reference_scheduler.c
@@ -9,7 +9,7 @@
 
 /* Returns the machine that the reference definition chooses for one task of the job; NULL if no
  * machine has room. The function scores each machine anew and does not bind in batches. */
-static const mv_machine *choose_by_definition(const mv_scheduler *scheduler, mv_job *job)
+static const mv_machine *choose_by_reference(const mv_scheduler *scheduler, mv_job *job)
 {
     const GPtrArray *rotation = scheduler->agents->rotation;
     const mv_context *context = scheduler->context;
@@ -32,7 +32,7 @@
 
 void mv_binding_observed(const mv_scheduler *scheduler, mv_job *job, const mv_machine *machine)
 {
-    const mv_machine *reference = choose_by_definition(scheduler, job);
+    const mv_machine *reference = choose_by_reference(scheduler, job);
     mismatches += !reference || reference != machine;
 }
 
--- a/tests/submission_builder.h
+++ b/tests/submission_builder.h
@@ -99,7 +99,7 @@
 
 /** Writes all fields except the field `except` with valid values. Only pack_submission() calls this
  * function. */
-static inline void write_sound_fields(mv_writer *writer, const char *except)
+static inline void write_valid_fields(mv_writer *writer, const char *except)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(submission_texts); i++)
         if (g_strcmp0(except, submission_texts[i][0]) != 0)
@@ -128,7 +128,7 @@
     mv_writer *writer = mv_writer_new();
     const bool left_out = replaced && !write_value;
     mv_write_map(writer, SUBMISSION_FIELDS - left_out);
-    write_sound_fields(writer, replaced);
+    write_valid_fields(writer, replaced);
     if (replaced && write_value) {
         mv_write_text(writer, replaced);
         write_value(writer);
