--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -137,9 +137,10 @@
 /** Puts the partition records of shard 0, which name all machines as members, and the occupancy
  * records, which say that each of these machines may hold tasks. */
 void fixture_put_partition(controller_fixture *fixture);
-/** Puts segment `part` of the partition of shard 0. The segment names `count` machines of the type
- * "small", of which the first has the index `from`. */
-void fixture_put_segment(controller_fixture *fixture, unsigned part, unsigned from, unsigned count);
+/** Puts the segment with this number of the partition of shard 0. The segment names `count`
+ * machines of the type "small", of which the first has the index `from`. */
+void fixture_put_segment(controller_fixture *fixture, unsigned segment, unsigned from,
+                         unsigned count);
 /** Puts the record of a job of the team "a" without a deadline. Replaces the names and the deadline
  * in `spec` and keeps its other fields. */
 void fixture_put_job(controller_fixture *fixture, mv_job_spec spec, const char *id,
@@ -151,8 +152,8 @@
 /** Puts the records that make the controller under test the owner of shard 0 under this term. */
 void fixture_grant_shard(controller_fixture *fixture, uint64_t term);
 /** Puts the record that grants a shard to the node. The team "a" has its home in the shard. */
-void fixture_put_shard(controller_fixture *fixture, const char *key, const char *node, uint64_t inc,
-                       uint64_t term);
+void fixture_put_shard(controller_fixture *fixture, const char *key, const char *node,
+                       uint64_t incarnation, uint64_t term);
 /** Puts the records that make n0 the leader. `controllers` controllers n0, n1 and so on own one
  * shard each: nK owns shard K. */
 void fixture_lead(controller_fixture *fixture, unsigned controllers);
--- a/tests/controller_fixture_records.c
+++ b/tests/controller_fixture_records.c
@@ -94,14 +94,15 @@
     }
 }
 
-void fixture_put_segment(controller_fixture *fixture, unsigned part, unsigned from, unsigned count)
+void fixture_put_segment(controller_fixture *fixture, unsigned segment, unsigned from,
+                         unsigned count)
 {
     g_autoptr(GArray) members = g_array_new(FALSE, TRUE, sizeof(mv_partition_member));
     for (unsigned i = from; i < from + count; i++) {
         const mv_partition_member member = partition_member(i, "small");
         g_array_append_val(members, member);
     }
-    record_segment(fixture, part, members);
+    record_segment(fixture, segment, members);
 }
 
 /* --- jobs --- */
@@ -146,10 +147,10 @@
     fixture_put_record(fixture, key, mv_lease_holder_pack(&holder));
 }
 
-void fixture_put_shard(controller_fixture *fixture, const char *key, const char *node, uint64_t inc,
-                       uint64_t term)
+void fixture_put_shard(controller_fixture *fixture, const char *key, const char *node,
+                       uint64_t incarnation, uint64_t term)
 {
-    mv_lease_holder holder = {.incarnation = inc, .term = term};
+    mv_lease_holder holder = {.incarnation = incarnation, .term = term};
     g_strlcpy(holder.node, node, sizeof holder.node);
     holder.teams = g_ptr_array_new();
     g_ptr_array_add(holder.teams, TEAM_NAME);
