--- a/tests/behavior_plans.c
+++ b/tests/behavior_plans.c
@@ -139,7 +139,9 @@
       .latency_sensitive = 0.2}},
 };
 
-_Static_assert(G_N_ELEMENTS(PLANS) % 2 == 1, "each plan takes turns with one and three shards");
+_Static_assert(
+    G_N_ELEMENTS(PLANS) % 2 == 1,
+    "the number of plans is odd, so that each plan is run with one and with three shards");
 
 behavior_plan behavior_plan_of(unsigned run)
 {
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -90,10 +90,12 @@
 /** Starts a new controller with a valid lease session and the list of machine types. The controller
  * has seen no record yet. */
 void fixture_start(controller_fixture *fixture);
-/** Creates the machines, starts the controller and loads its records: the controller owns shard 0,
- * whose partition names all machines, and the occupancy records name all of them as well. */
+/** Creates the machines, starts the controller and loads its records. According to the records, the
+ * controller owns shard 0, the partition of shard 0 names all machines, and each machine may hold
+ * tasks. */
 void fixture_own_fleet(controller_fixture *fixture);
-/** Frees what the fixture owns. The caller frees the fixture itself and the held queues. */
+/** Frees the controller, its settings and the machines. The caller frees the fixture itself and the
+ * held queues. */
 void fixture_free(controller_fixture *fixture);
 
 /* --- time and actions --- */
--- a/tests/process_cluster.h
+++ b/tests/process_cluster.h
@@ -24,7 +24,8 @@
 
 #define NODES 3
 #define STEP_MS 100
-/** Maximum number of polls before a test fails, which suffices on a slow machine too. */
+/** Maximum number of polls or retries before a test fails. The limit is high enough for a slow
+ * machine. */
 #define STEPS_MAX 1200
 #define REQUEST_TIMEOUT_MS 5000
 #define PATH_SIZE 80
@@ -32,8 +33,9 @@
 #define JOB_TASKS 12
 #define SERVICE_REPLICAS 3
 
-/** The fake state store refuses every sixth transaction as above the rate limit and does not carry
- * it out. The controllers get no notice beforehand, and the tests still have to pass. */
+/** The fake state store refuses one in REFUSED_EVERY transactions as above the rate limit and does
+ * not carry out that transaction. The controllers get no notice of this limit, and each test must
+ * still reach its result. */
 #define REFUSED_EVERY 6
 
 /** The fakes of the state store, the cloud and the agents. */
@@ -49,7 +51,7 @@
     g_assert_true(mv_cluster_start_node(cluster, index));
 }
 
-/** Kills the processes of all nodes without a chance to shut down. */
+/** Kills the processes of all nodes; the processes get no notice and cannot shut down in order. */
 static inline void kill_all_nodes(void)
 {
     for (unsigned i = 0; i < NODES; i++)
@@ -151,7 +153,7 @@
 }
 
 /** Submits a usual_job() of the team "red" to one node after another until a node accepts the job.
- */
+ * Ends the test after STEPS_MAX requests. */
 static inline void submit(const char *id)
 {
     char status[STATUS_SIZE];
