--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -1,11 +1,12 @@
-/** One controller on a clock of the test: settings, start, the way of its actions, time. */
+/** The controller under test: its settings, its start, the execution of its actions, and a clock
+ * that the test advances. */
 #include "controller_fixture.h"
 
 #include <string.h>
 
 #define WALL_CLOCK_START_S 1e6
 #define DEFAULT_TICK_S 0.1
-/* Digits of a machine's name follow "vm-". */
+/* Length of "vm-", which precedes the digits of a machine's name. */
 #define MACHINE_NAME_PREFIX_LENGTH 3
 
 /* --- start --- */
@@ -95,7 +96,8 @@
     return strcmp(machine, dead_machine) == 0;
 }
 
-/* The queue in which a test looks at such actions one by one; NULL: they are carried out. */
+/* Returns the queue in which the test holds actions of this kind back, in order to look at each of
+ * them; NULL if the fixture carries out actions of this kind at once. */
 static GQueue *held_queue(const controller_fixture *fixture, mv_action_kind kind)
 {
     switch (kind) {
@@ -108,10 +110,10 @@
     }
 }
 
-static void leave_unanswered(controller_fixture *fixture, const mv_action *action)
+static void add_unanswered_command(controller_fixture *fixture, const mv_action *action)
 {
     const unanswered_command unanswered = {
-        .id = action->id, .gives_up_at = fixture->now + action->timeout_ms / 1000.0};
+        .id = action->id, .times_out_at = fixture->now + action->timeout_ms / 1000.0};
     g_queue_push_tail(fixture->unanswered_commands, g_memdup2(&unanswered, sizeof unanswered));
 }
 
@@ -129,14 +131,15 @@
     mv_heartbeat_clear(&heartbeat);
 }
 
-/* Actions for the cloud and for peers get no response. */
-static void carry_out(controller_fixture *fixture, const mv_action *action)
+/* Commits a transaction and executes a command. Does nothing for actions to the cloud and to peers,
+ * so the controller gets no response to them. */
+static void execute_action(controller_fixture *fixture, const mv_action *action)
 {
     if (action->kind == MV_ACTION_TRANSACTION)
         mv_controller_transaction_completed(fixture->controller, fixture->now, action->id,
                                             MV_TRANSACTION_COMMITTED);
     else if (action->kind == MV_ACTION_COMMAND && is_dead(fixture, action->machine))
-        leave_unanswered(fixture, action);
+        add_unanswered_command(fixture, action);
     else if (action->kind == MV_ACTION_COMMAND)
         answer_command(fixture, action);
 }
@@ -150,16 +153,16 @@
             g_queue_push_tail(held, action);
             continue;
         }
-        carry_out(fixture, action);
+        execute_action(fixture, action);
         mv_action_free(action);
     }
 }
 
-static void give_up_commands(controller_fixture *fixture)
+static void fail_timed_out_commands(controller_fixture *fixture)
 {
     for (guint n = g_queue_get_length(fixture->unanswered_commands); n > 0; n--) {
         unanswered_command *unanswered = g_queue_pop_head(fixture->unanswered_commands);
-        if (fixture->now < unanswered->gives_up_at) {
+        if (fixture->now < unanswered->times_out_at) {
             g_queue_push_tail(fixture->unanswered_commands, unanswered);
             continue;
         }
@@ -178,7 +181,8 @@
     mv_controller_watch_caught_up(fixture->controller, fixture->now, fixture->now);
 }
 
-/* The machine obeys the response unless a newer owner has spoken to it. */
+/* Delivers a heartbeat of the machine to the controller. The machine executes the commands of the
+ * response unless it has seen a higher fencing token, which a newer owner of its shard issued. */
 static void send_heartbeat(controller_fixture *fixture, unsigned index)
 {
     mv_heartbeat heartbeat;
@@ -203,7 +207,7 @@
     while (fixture->now < until) {
         fixture_advance_idle(fixture, tick_s);
         tick(fixture);
-        give_up_commands(fixture);
+        fail_timed_out_commands(fixture);
         fixture_run_actions(fixture);
         fixture->heartbeats_due += heartbeats_per_tick;
         for (; fixture->heartbeats_due >= 1; fixture->heartbeats_due--) {
