--- a/src/connectivity/connectivity.h
+++ b/src/connectivity/connectivity.h
@@ -4,9 +4,9 @@
  * traffic that exists anyway and the link reports of the peers.
  *
  * The module is pure: the module performs no I/O and reads no clock; every call passes the time, in
- * seconds of a monotonic clock, and what happened. The age of a peer's report counts from the time
- * at which this controller published the report that the peer confirms. Therefore a report that the
- * network delayed is never taken for a recent one.
+ * seconds of the monotonic clock, and what happened. The age of a peer's report counts from the
+ * time at which this controller published the report that the peer confirms. Therefore a report
+ * that the network delayed is never taken for a recent one.
  *
  * The object is not thread-safe: the controller that owns the object calls it under the
  * controller's lock. The settings must outlive the object; each update reads the operator settings
@@ -79,7 +79,7 @@
 /** Returns the class of the links at the last update. */
 mv_link_class mv_connectivity_link_class(const mv_connectivity *connectivity);
 
-/** Returns when the links got their present class, in seconds of the caller's monotonic clock. */
+/** Returns when the links got their present class, in seconds of the monotonic clock. */
 double mv_connectivity_class_since(const mv_connectivity *connectivity);
 
 /** Returns the launch gate, which the object owns. */
--- a/src/connectivity/launch_gate.h
+++ b/src/connectivity/launch_gate.h
@@ -5,7 +5,7 @@
  * only after the link to the state service has been stable for a hold-down time, which doubles with
  * each break.
  *
- * The module is pure: the caller passes the time, in seconds of a monotonic clock. The module is
+ * The module is pure: the caller passes the time, in seconds of the monotonic clock. The module is
  * not thread-safe; the owner of the gate serializes the calls.
  */
 #ifndef MV_LAUNCH_GATE_H
@@ -27,7 +27,8 @@
     double broken_at;     /**< when the link to the state service last broke */
     double stable_since;  /**< start of the running hold-down time; 0: none is running */
     double hold_down_s;   /**< how long the link has to be stable before the gate opens */
-    unsigned break_count; /**< breaks with less than MV_HOLD_DOWN_RESET_S between two of them */
+    unsigned break_count; /**< number of breaks in a row, each at most MV_HOLD_DOWN_RESET_S
+                               after the break before */
     mv_launch_scope scope;
 } mv_launch_gate;
 
--- a/src/connectivity/link_classifier.h
+++ b/src/connectivity/link_classifier.h
@@ -3,8 +3,8 @@
  * does not answer, the class also says whether the service is down for all controllers (an outage)
  * or unreachable for this controller alone (isolation).
  *
- * The module is pure: the class is a function of the observations and of the time, in seconds of a
- * monotonic clock.
+ * The module is pure: the class is a function of the observations and of the time, in seconds of
+ * the monotonic clock.
  */
 #ifndef MV_LINK_CLASSIFIER_H
 #define MV_LINK_CLASSIFIER_H
--- a/src/connectivity/link_report.h
+++ b/src/connectivity/link_report.h
@@ -44,7 +44,7 @@
 typedef struct {
     char peer[MV_NAME_SIZE];
     uint64_t received_boot;     /**< process of the newest report received from the peer; 0: none */
-    uint64_t received_sequence; /**< number of that report; 0: none */
+    uint64_t received_sequence; /**< sequence number of the newest report received; 0: none */
     double last_message_age_s;  /**< since the peer's last new report arrived */
     double answered_request_age_s; /**< since the last request that the peer answered was sent */
 } mv_peer_link;
@@ -59,14 +59,14 @@
 typedef struct {
     char node[MV_NAME_SIZE];
     uint64_t boot;        /**< identifies the sender's process; a new number at each start */
-    uint64_t incarnation; /**< of the sender's session, as in the leases; 0: none yet */
+    uint64_t incarnation; /**< incarnation of the sender's session, as in the leases; 0: none yet */
     uint64_t sequence;    /**< rises with each report of the process */
     mv_link_class link_class;
     double class_age_s;   /**< since the links got this class */
     double state_age_s;   /**< since the last answered session renewal was sent */
     double cache_age_s;   /**< since the last answered watch of the state service was sent */
     double workers_age_s; /**< since the last heartbeat of a machine arrived */
-    double round_trip_s;  /**< of the last answered session renewal */
+    double round_trip_s;  /**< time from request to answer of the last answered session renewal */
     unsigned failures;    /**< session renewals in a row that failed */
     bool launches_held;   /**< the sender launches nothing */
     unsigned completions_unrecorded; /**< completions that the sender has not recorded yet */
--- a/src/connectivity/peer_table.h
+++ b/src/connectivity/peer_table.h
@@ -2,8 +2,8 @@
  * The table of peers (the other controllers). For each peer the table holds whether the peer
  * answers this controller's requests, and the peer's newest link report.
  *
- * The module is pure: the caller passes all times, in seconds of a monotonic clock; 0 means never.
- * The module is not thread-safe; the owner of the table serializes the calls.
+ * The module is pure: the caller passes all times, in seconds of the monotonic clock; 0 means
+ * never. The module is not thread-safe; the owner of the table serializes the calls.
  */
 #ifndef MV_PEER_TABLE_H
 #define MV_PEER_TABLE_H
@@ -17,7 +17,8 @@
     double answered_at;         /**< when the last request that the peer answered was sent */
     unsigned failures;          /**< requests in a row that the peer did not answer */
     uint64_t received_boot;     /**< process that made the newest received report; 0: none */
-    uint64_t received_sequence; /**< of that report, to confirm its receipt to the peer */
+    uint64_t received_sequence; /**< sequence number of the newest received report, which confirms
+                                   the report's receipt to the peer */
     mv_link_report *report;     /**< newest accepted report, owned; NULL: none */
     double report_as_of;        /**< the peer made `report` after this time */
 } mv_peer_entry;
--- a/src/connectivity/state_link.h
+++ b/src/connectivity/state_link.h
@@ -2,8 +2,8 @@
  * The link from this controller to the state service: whether the controller's lease session is
  * confirmed and whether the controller's state cache is caught up.
  *
- * The module is pure: the caller passes all times, in seconds of a monotonic clock; 0 means never.
- * The module is not thread-safe; the owner of the struct serializes the calls.
+ * The module is pure: the caller passes all times, in seconds of the monotonic clock; 0 means
+ * never. The module is not thread-safe; the owner of the struct serializes the calls.
  */
 #ifndef MV_STATE_LINK_H
 #define MV_STATE_LINK_H
--- a/src/constants.h
+++ b/src/constants.h
@@ -148,7 +148,11 @@
  * shard.
  */
 #define MV_RESIGN_AFTER_S 8.0
-/** The leader grants no shard to a controller for this long after the controller resigned one. */
+/**
+ * For this long after a controller resigned a shard, the leader prefers other controllers when it
+ * grants a shard. The controller still gets a shard if every other candidate also resigned one that
+ * recently and the controller has the fewest shards.
+ */
 #define MV_RESIGNED_BACKOFF_S 60.0
 /** The leader waits this long between two moves of shards to controllers that have come back. */
 #define MV_REBALANCE_INTERVAL_S 10.0
@@ -293,8 +297,8 @@
 /** A controller counts as overloaded for at most this long after a late tick. */
 #define MV_OVERLOAD_MAX_S 10.0
 /**
- * A controller gives up a transaction that has had no result for this long. This is a safeguard:
- * the server reports a result for every transaction.
+ * A controller gives up a transaction that has had no result for this long. The limit is a
+ * safeguard: the server reports a result for every transaction.
  */
 #define MV_TRANSACTION_LOST_S 60.0
 /**
@@ -363,7 +367,8 @@
 #define MV_HEARTBEAT_TIMEOUT_INTERVALS 2.5
 /**
  * A shard with at least this many machines is large. If no machine of a large shard sends a
- * heartbeat for MV_LARGE_SHARD_TIMEOUT_INTERVALS, the shard's owner is considered isolated.
+ * heartbeat for MV_LARGE_SHARD_TIMEOUT_INTERVALS and more than one machine answers no commands, the
+ * shard's owner is considered isolated.
  */
 #define MV_LARGE_SHARD_MACHINES 20u
 /**
@@ -477,8 +482,8 @@
 /** The ratio of actual to estimated runtime is smoothed over this many tasks. */
 #define MV_ESTIMATOR_WINDOW 30u
 /**
- * After the n-th failure of its tasks, a job pauses for this long times 2 to the power of n, but no
- * longer than MV_RETRY_MAX_S.
+ * After the n-th consecutive failure of its tasks, a job pauses for this long times 2 to the power
+ * of n (2 s after the first failure), but no longer than MV_RETRY_MAX_S.
  */
 #define MV_RETRY_BASE_S 1.0
 /** Longest pause of a job after a failure, so that a job that fails everywhere costs little. */
@@ -574,7 +579,7 @@
 #define MV_STARVATION_TIMEOUT_S 45.0
 /**
  * A job that was accepted this long ago, and of which no task has been placed, precedes other jobs
- * of its priority.
+ * of the same guarantee and priority.
  */
 #define MV_STARVED_AFTER_S 120.0
 /**
@@ -684,7 +689,7 @@
 #define MV_BOOT_PENALTY_S 15.0
 /**
  * The leader sends no new request for a type and kind of machine for this long after the cloud had
- * no capacity for them.
+ * no capacity for that type and kind.
  */
 #define MV_CAPACITY_BACKOFF_S 12.0
 /**
--- a/src/coordination/agents/agents.h
+++ b/src/coordination/agents/agents.h
@@ -27,12 +27,13 @@
     bool launch_unanswered;       /**< a sent launch got no answer and may still arrive */
     bool stopping;
     bool skip_checkpoint;   /**< the task is stopped without a checkpoint */
-    bool preemption_exempt; /**< the first task of a job that had starved: never preempted */
+    bool preemption_exempt; /**< the first task of a job that had starved severely:
+                               never preempted */
     bool service;           /**< the task is a replica of a service */
-    bool adopted;           /**< found on the machine after a failover: the start time is not known,
-                               so the task's run time is no sample for estimates */
-    double stop_sent_at;    /**< 0: no direct command with a stop was sent */
-    double job_ended_at;    /**< when the job was seen to have ended, if `job` is NULL */
+    bool adopted;        /**< the task was found on the machine after a failover: the start time is
+                            not known, so the task's run time is no sample for estimates */
+    double stop_sent_at; /**< 0: no direct command with a stop was sent */
+    double job_ended_at; /**< when the job was seen to have ended, if `job` is NULL */
 } mv_placement;
 
 /** An image in a machine's cache, identified by a number that is valid within this process. */
@@ -42,8 +43,8 @@
 } mv_cached_image;
 
 /**
- * What this controller knows of one machine of the fleet, in any shard. Times are steady seconds.
- * mv_machine_reset clears the placements and the results of commands.
+ * What this controller knows of one machine of the fleet, in any shard. Times are seconds of the
+ * monotonic clock. mv_machine_reset clears the placements and the results of commands.
  */
 typedef struct {
     char id[MV_NAME_SIZE], address[64], type_name[MV_NAME_SIZE], zone_name[MV_NAME_SIZE];
@@ -60,8 +61,8 @@
     bool occupied;    /**< the occupancy record says that the machine may hold tasks */
     bool known_empty; /**< the machine joined after the present owner's grant, so no task of this
                          partition can be on it yet */
-    bool departing;   /**< its segment's record names the machine no more, but another segment of
-                         the same revision may */
+    bool departing;   /**< the record of the machine's segment no longer names the machine, but the
+                         record of another segment of the same revision may name it */
     /* from the machine's heartbeats */
     uint64_t agent_epoch, sequence;
     double last_heartbeat_at;  /**< 0: never */
@@ -82,9 +83,10 @@
     GArray *images;         /**< mv_cached_image, most recently used last */
     double idle_since;
     mv_resources nominated; /**< reserved for pending tasks within a scheduling round */
-    /** Attempts whose launch may still arrive, by mv_attempt_key: under the current fencing token
-     * the agent gets no clear command for them. The value says whether the command with the launch
-     * was given up without an answer (1) or is still in flight (0). */
+    /** The attempts whose launch may still arrive at the agent, by mv_attempt_key. Under the
+     * current fencing token, this controller sends the agent no clear command for these attempts,
+     * because the agent would start a launch that arrives after the clear. The value says whether
+     * the command with the launch was given up without an answer (1) or is still in flight (0). */
     GHashTable *uncertain_attempts;
     double uncertain_since; /**< when the first attempt entered the empty `uncertain_attempts` */
     /* direct commands */
@@ -100,17 +102,20 @@
     unsigned unanswered_commands; /**< commands without an answer since `unreachable_since` */
     /** When a command first got no answer while heartbeats arrived; 0: never. */
     double unreachable_while_reporting_since;
-    unsigned unanswered_while_reporting; /**< commands without an answer since then */
-    double launches_paused_until; /**< the machine refused a launch, so this controller's record of
-                                     the machine is stale */
+    unsigned unanswered_while_reporting; /**< commands without an answer since
+                                            `unreachable_while_reporting_since` */
+    double launches_paused_until; /**< nothing is launched on the machine before this time: the
+                                     machine refused a launch, so this controller's record of the
+                                     machine is out of date */
     /* health */
-    bool release_pending; /**< idle, and to be returned to the cloud */
-    bool quarantined;     /**< gets no more tasks, is emptied and returned to the cloud */
-    bool failed;          /**< heartbeat timeout or commands unreachable; the machine's tasks stay
-                             placed until the machine is in no partition */
-    bool draining;        /**< gets a task only if no other machine has room for the task */
+    bool release_pending; /**< the machine is idle and is to be returned to the cloud */
+    bool quarantined; /**< the machine gets no more tasks, is emptied and returned to the cloud */
+    bool failed;      /**< the machine's heartbeats timed out, or commands do not reach the
+                         machine; the machine's tasks stay placed until the machine is in
+                         no partition */
+    bool draining;    /**< the machine gets a task only if no other machine has room for the task */
     double draining_since;
-    bool evicting; /**< being emptied for services of other shards */
+    bool evicting; /**< the machine is being emptied for services of other shards */
     /** Revision of the segment's occupancy record when the owner declared the machine transferable;
      * 0: the machine is not transferable. */
     uint64_t transferable_revision;
@@ -125,7 +130,8 @@
     unsigned lists_missed;      /**< complete lists in a row that no longer name the machine */
     mv_machine_summary summary; /**< what the owner last published of the machine */
     double summary_at;          /**< when `summary` arrived; 0: never */
-    bool released;              /**< returned to the cloud, but its partition still names it */
+    bool released;              /**< the machine was returned to the cloud, but its partition still
+                                     names the machine */
     bool moving;                /**< chosen for a transfer to another shard in this round */
 } mv_machine;
 
--- a/src/coordination/agents/health.c
+++ b/src/coordination/agents/health.c
@@ -110,9 +110,9 @@
 
 /* How long a machine has sent no heartbeat, and the limits that apply to the machine. */
 typedef struct {
-    double since;          /* steady seconds; the gap is never counted from before this time */
-    double gap_s;          /* time since the last heartbeat, or since `since` if that is later */
-    bool expected;         /* the machine has sent heartbeats before or may hold tasks */
+    double since;  /* in seconds of the monotonic clock; the gap never begins before this time */
+    double gap_s;  /* time since the last heartbeat, or since `since` if that is later */
+    bool expected; /* the machine has sent heartbeats before or may hold tasks */
     double probe_after_s;  /* a machine with a longer gap is probed */
     double failed_after_s; /* a machine with a longer gap that answers no probe is failed */
 } heartbeat_gap;
@@ -128,9 +128,9 @@
         .failed_after_s = MV_FAILED_HEARTBEATS * interval_s,
     };
     gap.gap_s = context->clock.now - MAX(machine->last_heartbeat_at, gap.since);
-    /* Users notice a lost replica at once, but heartbeats are seconds apart: waiting for them took
-     * 9 s of the 12 s until a lost replica was running again. Machines with replicas are few, so
-     * this controller probes them without waiting for an overdue heartbeat. */
+    /* Users notice a lost replica at once, but heartbeats are seconds apart: waiting for heartbeats
+     * took 9 s of the 12 s until a lost replica was running again. Machines with replicas are few,
+     * so this controller probes them without waiting for an overdue heartbeat. */
     if (mv_machine_replica_count(machine) > 0) {
         gap.probe_after_s = MIN(gap.probe_after_s, MV_REPLICA_PROBE_AFTER_S);
         gap.failed_after_s = MIN(gap.failed_after_s, MV_REPLICA_FAILED_AFTER_S);
--- a/src/coordination/agents/heartbeat.h
+++ b/src/coordination/agents/heartbeat.h
@@ -3,11 +3,11 @@
  *
  * These rules hold for heartbeats and for the answers to direct commands, which carry a heartbeat:
  * - A heartbeat that is not newer by (agent epoch, sequence) than all earlier ones is a copy or
- *   arrived late. It is stale and proves nothing.
- * - A newer heartbeat under an older fencing token proves the agent epoch only. It may be a copy
- *   that is minutes old and is new only to a controller that has not owned the machine for long. So
- *   it does not prove that the machine is alive, and a task that it does not list may still be
- *   started by a command of an earlier owner.
+ *   arrived late. Such a heartbeat is stale and proves nothing.
+ * - A newer heartbeat under an older fencing token proves the agent epoch only. Such a heartbeat
+ *   may be a copy that is minutes old and is new only to a controller that has not owned the
+ *   machine for long. So the heartbeat does not prove that the machine is alive, and a task that
+ *   the heartbeat does not list may still be started by a command of an earlier owner.
  * - Only a newer heartbeat under the current owner's fencing token proves which tasks are on the
  *   machine.
  */
--- a/src/coordination/autoscaling/adoption.c
+++ b/src/coordination/autoscaling/adoption.c
@@ -86,10 +86,10 @@
     g_hash_table_insert(autoscaler->unknown_probes, probe->member.id, probe);
 }
 
-/* Returns whether a heartbeat is enough to adopt a machine. This is so only in the first seconds of
- * the very first leader. No machine is older than that leader. A probe would also delay the moment
- * at which the leader knows the size of the fleet, and until then there is only one shard, which
- * gets all the first jobs. */
+/* Returns whether a heartbeat is enough to adopt a machine. A heartbeat is enough only in the first
+ * seconds of the very first leader, because no machine is older than that leader. A probe would
+ * also delay the moment at which the leader knows the size of the fleet. Until that moment there is
+ * only one shard, which gets all the first jobs. */
 static bool adopts_without_probe(const mv_membership *membership)
 {
     double adopts_until = membership->leading_since + MV_INITIAL_ADOPTION_S;
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -24,7 +24,7 @@
 
 /** Progress of reading the cloud's machine list, which arrives page by page. */
 typedef struct {
-    uint64_t action_id;    /**< of the page request in flight; 0: none */
+    uint64_t action_id;    /**< id of the page request in flight; 0: none */
     double requested_at;   /**< when the first page was requested; 0: never */
     GHashTable *names;     /**< machine names received so far; NULL: no list was requested yet */
     mv_fleet_listing last; /**< summary of the last complete list */
@@ -38,7 +38,7 @@
 } mv_scale_in_request;
 
 /**
- * The state of this module; times are in seconds of the steady clock. The demand of each shard is
+ * The state of this module; times are seconds of the monotonic clock. The demand of each shard is
  * stored in mv_shard, and the catalog of machine types in mv_context.
  */
 typedef struct {
--- a/src/coordination/autoscaling/capacity_bins.h
+++ b/src/coordination/autoscaling/capacity_bins.h
@@ -1,6 +1,6 @@
 /**
  * Bin packing: the capacity of each shard's machines, present or expected, and the tasks that fit
- * into it.
+ * into that capacity.
  */
 #ifndef MV_CAPACITY_BINS_H
 #define MV_CAPACITY_BINS_H
@@ -8,8 +8,8 @@
 
 /** A machine that runs, boots, is requested from the cloud, or is about to join a partition. */
 typedef struct {
-    double cores, gpus, ram_gb;           /**< free: neither in use nor packed with a task */
-    double service_cores, service_ram_gb; /**< in use by replicas */
+    double cores, gpus, ram_gb; /**< free resources: neither in use nor packed with a task */
+    double service_cores, service_ram_gb; /**< resources in use by replicas */
     int type_index;
     const char *zone_name; /**< owned by the machine, partition member, request or catalog */
     bool spot;
--- a/src/coordination/autoscaling/cloud_lists.c
+++ b/src/coordination/autoscaling/cloud_lists.c
@@ -63,7 +63,8 @@
 
 /* Records the machine types in the state service, if this controller is the leader and there is no
  * record yet. Controllers that start while the cloud is unavailable load the types from this
- * record; without it, none of them could accept a job until the cloud is available again. */
+ * record; without the record, no such controller could accept a job until the cloud is available
+ * again. */
 static void record_types(const mv_autoscaler *autoscaler)
 {
     const mv_membership *membership = autoscaler->membership;
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -110,7 +110,7 @@
 /* The inputs for one pass that decides which machines of a shard are transferable. */
 typedef struct {
     bool demanded_elsewhere, starving_elsewhere; /* whether other shards need idle machines, and
-                                                    whether they do so for starving jobs */
+                                                    whether they need them for starving jobs */
     demanded_types demanded_here;
     unsigned retained; /* idle machines that this pass still has to retain for future tasks */
 } transfer_policy;
--- a/src/coordination/autoscaling/planner.c
+++ b/src/coordination/autoscaling/planner.c
@@ -68,8 +68,9 @@
     return left;
 }
 
-/* Transfers the machines that belong to the same shard as the first one. A transfer takes machines
- * from one shard only; a later run of the planner transfers the machines of other shards. */
+/* Transfers the machines that belong to the same shard as the first machine. A transfer takes
+ * machines from one shard only; a later run of the planner transfers the machines of other shards.
+ */
 static void transfer_machines(mv_autoscaler *autoscaler, mv_shard *to, const GPtrArray *machines)
 {
     if (machines->len) {
--- a/src/coordination/autoscaling/planner.h
+++ b/src/coordination/autoscaling/planner.h
@@ -6,7 +6,7 @@
 /**
  * Plans machines for the demand of all shards, if the planning interval has passed. Transfers
  * machines that other shards declared transferable first, and requests instances from the cloud for
- * the rest. Records in each shard which demand remains unmet.
+ * the remaining demand. Records in each shard which demand remains unmet.
  */
 void mv_planner_run(mv_autoscaler *autoscaler);
 #endif
--- a/src/coordination/autoscaling/shard_demands.c
+++ b/src/coordination/autoscaling/shard_demands.c
@@ -181,8 +181,8 @@
 /* --- resigning --- */
 
 /* Returns whether a shard of at least MV_LARGE_SHARD_MACHINES machines received no heartbeat in the
- * last interval. Of hundreds of machines, at least one reports in every interval, so one interval
- * without any heartbeat is enough to conclude that the owner is isolated. */
+ * last MV_LARGE_SHARD_TIMEOUT_INTERVALS. Of so many machines, at least one reports in every
+ * interval, so one interval without any heartbeat is a sign that the owner is isolated. */
 static bool is_large_and_quiet(const mv_context *context, const mv_shard *shard)
 {
     double reported_at = MAX(shard->last_heartbeat_at, shard->listening_since);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -2,10 +2,10 @@
  * The controller: elects the leader, grants shards of machines and teams to their owners, and
  * places tasks on machines.
  *
- * Pure code: each call passes the time (`now`, steady seconds) and an event to the controller, and
- * the caller fetches the resulting actions with mv_controller_next_action. No call blocks, reads a
- * clock or uses a socket. The controller is not thread-safe: the server guards it with one lock
- * (src/server/shared_controller.h).
+ * Pure code: each call passes the time (`now`, seconds of the monotonic clock) and an event to the
+ * controller, and the caller fetches the resulting actions with mv_controller_next_action. No call
+ * blocks, reads a clock or uses a socket. The controller is not thread-safe: the server guards it
+ * with one lock (src/server/shared_controller.h).
  */
 #ifndef MV_CONTROLLER_H
 #define MV_CONTROLLER_H
@@ -36,8 +36,8 @@
 bool mv_controller_action_is_valid(mv_controller *controller, double now, const mv_action *action);
 
 /**
- * Advances the controller to `now` (steady seconds) and `wall_now` (wall time in seconds), and runs
- * all periodic work. The server calls this every MV_TICK_S.
+ * Advances the controller to `now` (seconds of the monotonic clock) and `wall_now` (wall time in
+ * seconds), and runs all periodic work. The server calls this every MV_TICK_S.
  */
 void mv_controller_tick(mv_controller *controller, double now, double wall_now);
 
@@ -63,7 +63,8 @@
                                   GBytes *data, uint64_t revision);
 /** Marks the state cache as loaded: the caller has passed a complete list of all records. */
 void mv_controller_cache_loaded(mv_controller *controller, double now);
-/** Handles the answer to a watch sent at `sent`: the cache holds every change made before then. */
+/** Handles the answer to a watch sent at `sent`: the cache holds every change made before `sent`.
+ */
 void mv_controller_watch_caught_up(mv_controller *controller, double now, double sent);
 /**
  * Prepares the state cache for a new list of all records. The pages of the list are read at
@@ -105,8 +106,8 @@
                                          mv_transaction_result result);
 /**
  * Handles the answer to a scale-out request. `machines` holds the names (char *) of the granted
- * machines. It is NULL if the cloud refused the request for lack of capacity (`refused` is true) or
- * did not answer (`refused` is false).
+ * machines. `machines` is NULL if the cloud refused the request for lack of capacity (`refused` is
+ * true) or did not answer (`refused` is false).
  */
 void mv_controller_scale_out_completed(mv_controller *controller, double now, uint64_t id,
                                        const GPtrArray *machines, bool refused);
@@ -217,7 +218,10 @@
  * services. Until then, no service is accepted.
  */
 bool mv_controller_all_formats_current(const mv_controller *controller);
-/** Returns the time, in steady seconds, before which the state cache holds every change. */
+/**
+ * Returns the time, in seconds of the monotonic clock, before which the state cache holds every
+ * change.
+ */
 double mv_controller_caught_up_to(const mv_controller *controller);
 /** Returns the number of controllers that own shards. */
 unsigned mv_controller_owner_count(const mv_controller *controller);
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -204,8 +204,8 @@
 }
 
 /* Returns whether a report was rejected because it cannot be parsed or comes from a node that the
- * settings do not name. Both indicate a fault. Other rejected reports are normal, for example those
- * that a peer sent before it restarted. */
+ * settings do not name. Either reason indicates a fault. Other rejected reports are normal, for
+ * example those that a peer sent before it restarted. */
 static bool is_invalid_report(mv_link_report_status status)
 {
     return status == MV_LINK_REPORT_MALFORMED || status == MV_LINK_REPORT_UNKNOWN_NODE;
--- a/src/coordination/foundation/action.h
+++ b/src/coordination/foundation/action.h
@@ -1,7 +1,7 @@
 /**
  * Actions: the controller decides on actions and puts them into a list; the server takes the
  * actions from the list and carries them out. The controller fills in a transaction on the state
- * store step by step.
+ * service step by step.
  */
 #ifndef MV_ACTION_H
 #define MV_ACTION_H
@@ -14,7 +14,7 @@
 
 /** What the server has to do for an action. */
 typedef enum {
-    MV_ACTION_TRANSACTION,   /**< a transaction on the state store */
+    MV_ACTION_TRANSACTION,   /**< a transaction on the state service */
     MV_ACTION_COMMAND,       /**< direct commands to the agent of a machine */
     MV_ACTION_SCALE_OUT,     /**< a request to the cloud for more machines */
     MV_ACTION_SCALE_IN,      /**< a request to the cloud to release machines */
@@ -70,7 +70,7 @@
     MV_TRANSACTION_COMMITTED,
     MV_TRANSACTION_CONFLICT, /**< a precondition failed: nothing was written */
     MV_TRANSACTION_UNKNOWN,  /**< no response: the transaction may have committed, or still may */
-    MV_TRANSACTION_TOO_LARGE /**< beyond a limit of the state store: nothing was written */
+    MV_TRANSACTION_TOO_LARGE /**< beyond a limit of the state service: nothing was written */
 } mv_transaction_result;
 
 /** The actions that the controller decided on and the server has not taken yet, oldest first. */
--- a/src/coordination/foundation/clock.h
+++ b/src/coordination/foundation/clock.h
@@ -1,6 +1,6 @@
 /**
  * The time in the coordination code, which never reads a clock: the caller passes the time with
- * every event. All times are seconds of a monotonic ("steady") clock unless a name says wall time.
+ * every event. All times are seconds of the monotonic clock unless a name says wall time.
  */
 #ifndef MV_CLOCK_H
 #define MV_CLOCK_H
@@ -8,11 +8,11 @@
 
 /** The time of the latest event. */
 typedef struct {
-    double now;              /**< steady time, which never decreases */
-    double wall_offset;      /**< wall time minus steady time, at the last tick */
+    double now;              /**< seconds of the monotonic clock; never decreases */
+    double wall_offset;      /**< wall time minus monotonic time, at the last tick */
     double last_tick_at;     /**< 0: there was no tick yet */
-    double overloaded_until; /**< until then this process counts as overloaded, because a tick was
-                                late: a missing heartbeat proves nothing */
+    double overloaded_until; /**< after a late tick, this process counts as overloaded until
+                                this time, and a missing heartbeat is no sign of a failure */
 } mv_clock;
 
 /** Advances the clock to the time of an event. An earlier time changes nothing. */
@@ -28,6 +28,7 @@
 bool mv_clock_is_overloaded(const mv_clock *clock);
 /** Returns the current wall time in seconds. */
 double mv_clock_wall_time(const mv_clock *clock);
-/** Converts a recorded wall time to steady time. The result is never in the future. */
+/** Converts a recorded wall time to seconds of the monotonic clock. The result is never in the
+ * future. */
 double mv_clock_steady_from_wall(const mv_clock *clock, double wall_time);
 #endif
--- a/src/coordination/foundation/context.h
+++ b/src/coordination/foundation/context.h
@@ -18,7 +18,8 @@
 #include "coordination/foundation/team.h"
 #include "safety_checks.h"
 
-/** Limits of the state store, halved when the state store rejects a transaction as too large. */
+/** Limits of the state service, halved when the state service rejects a transaction as too large.
+ */
 typedef struct {
     size_t value_bytes; /**< maximum bytes of a value, and of a transaction */
     unsigned writes;    /**< maximum number of writes of a transaction */
@@ -69,7 +70,7 @@
 /** Returns the team with this name, or NULL if the settings contain no such team. */
 mv_team *mv_context_team(const mv_context *context, const char *name);
 
-/** Halves the limits after the state store rejected a transaction as too large. */
+/** Halves the limits after the state service rejected a transaction as too large. */
 void mv_context_reduce_limits(mv_context *context);
 /**
  * Counts and logs a stale message: one that is older than the known state, repeats that state or
--- a/src/coordination/foundation/lease_session.h
+++ b/src/coordination/foundation/lease_session.h
@@ -1,7 +1,7 @@
 /**
- * The lease session of this controller at the state store. Keys that are bound to the session exist
- * only while the session is alive, and the age of the session limits how long this controller may
- * act.
+ * The lease session of this controller at the state service. Keys that are bound to the session
+ * exist only while the session is alive, and the age of the session limits how long this controller
+ * may act.
  */
 #ifndef MV_LEASE_SESSION_H
 #define MV_LEASE_SESSION_H
@@ -9,9 +9,9 @@
 
 #include <stdint.h>
 
-/** The lease session of this controller. Times are steady seconds. */
+/** The lease session of this controller. Times are seconds of the monotonic clock. */
 typedef struct {
-    bool open; /**< as the state store last reported; the session may have expired since */
+    bool open; /**< as the state service last reported; the session may have expired since */
     uint64_t incarnation; /**< identifies this process permanently; 0: there was no session yet */
     double confirmed_at;  /**< send time of the latest request whose response showed the session
                              alive */
--- a/src/coordination/foundation/machine_catalog.h
+++ b/src/coordination/foundation/machine_catalog.h
@@ -14,7 +14,7 @@
  */
 typedef struct {
     GArray *types;       /**< mv_machine_type; NULL: the types are not known yet */
-    uint64_t revision;   /**< of the record that stores the types; 0: there is no record */
+    uint64_t revision;   /**< revision of the record that stores the types; 0: there is no record */
     double requested_at; /**< when the types were last requested from the cloud */
     uint64_t request_id; /**< id of the request in flight; 0: no request is in flight */
 } mv_machine_catalog;
--- a/src/coordination/foundation/shard.h
+++ b/src/coordination/foundation/shard.h
@@ -15,12 +15,12 @@
 
 /**
  * A segment: one of the records in which a partition is stored. A partition needs several records,
- * because the size of a value in the state store is limited. Each record names some machines.
+ * because the size of a value in the state service is limited. Each record names some machines.
  */
 typedef struct {
     unsigned index;
-    uint64_t partition_revision; /**< of the partition record; 0: there is no record */
-    uint64_t occupancy_revision; /**< of the occupancy record; 0: there is no record */
+    uint64_t partition_revision; /**< revision of the partition record; 0: there is no record */
+    uint64_t occupancy_revision; /**< revision of the occupancy record; 0: there is no record */
     guint recorded_members;      /**< number of machines that the partition record names; if the
                                     number exceeds that of `members`, a newer segment names the
                                     machines that are missing in `members` */
@@ -35,13 +35,14 @@
 
 typedef struct mv_shard mv_shard;
 
-/** A shard. The context owns all shards and never removes one. Times are steady seconds. */
+/** A shard. The context owns all shards and never removes one. Times are seconds of the monotonic
+ * clock. */
 struct mv_shard {
     unsigned index;
     /* the lease */
     mv_lease_holder holder;
-    uint64_t revision;       /**< of the shard record; 0: there is no record */
-    uint64_t grant_revision; /**< of the shard record that began the current term */
+    uint64_t revision;       /**< revision of the shard record; 0: there is no record */
+    uint64_t grant_revision; /**< revision of the shard record that began the current term */
     bool owned;              /**< the shard record names this process as the owner;
                                 mv_shard_is_owned also checks the lease */
     bool was_owned;          /**< result of mv_shard_is_owned at the last tick */
@@ -57,7 +58,7 @@
     /* agents */
     unsigned machine_count;
     double listening_since;   /**< the owner has accepted heartbeats of the shard's machines since
-                                 then */
+                                 this time */
     double last_heartbeat_at; /**< last heartbeat of any machine of the shard; 0: there was none */
     bool heartbeats_only; /**< heartbeats arrive, but commands reach less than half of the machines:
                              the link of this controller is probably faulty */
--- a/src/coordination/foundation/shard_demand.h
+++ b/src/coordination/foundation/shard_demand.h
@@ -18,8 +18,8 @@
     uint32_t type_mask; /**< machine types that can run the tasks, one bit for each type */
     char zone_name[MV_NAME_SIZE];
     bool spot, urgent;
-    bool reserve;  /**< no task is pending: capacity that services would need after the loss of a
-                      machine */
+    bool reserve;  /**< the demand is for capacity that services would need after the loss of a
+                      machine; no task is pending */
     bool service;  /**< the demand is for pending replicas, or a reserve for replicas */
     bool starving; /**< none of the job's tasks has been placed for a long time */
     unsigned count;
--- a/src/coordination/foundation/team.h
+++ b/src/coordination/foundation/team.h
@@ -24,7 +24,7 @@
     /* within a scheduling round */
     double preemptible_cores; /**< used by tasks with checkpoints that have a lower priority than
                                  the team's latency-sensitive work */
-    double nominated_cores;   /**< of tasks for which a machine is nominated */
+    double nominated_cores;   /**< needed by pending tasks for which a machine is nominated */
     double reserved_cores;    /**< part of the quota that is kept free for a starved job */
     double service_cores;     /**< used by replicas */
 } mv_team;
--- a/src/coordination/foundation/transaction_slot.c
+++ b/src/coordination/foundation/transaction_slot.c
@@ -4,8 +4,8 @@
 
 /* The slot stays busy until the transaction has a result, because a second transaction that is sent
  * after a few seconds conflicts with the first. Conflicts count against the write limit, so each
- * one lengthens the queue: with 4,000 machines, the entry of a controller that had come back was
- * written only after 12 s.
+ * conflict lengthens the queue: with 4,000 machines, the entry of a controller that had come back
+ * was written only after 12 s.
  *
  * After the response, the slot stays busy until the state cache shows the result, but at most for
  * MV_CACHE_LAG_S: until then the next transaction would carry the old revisions and conflict too.
--- a/src/coordination/foundation/transaction_slot.h
+++ b/src/coordination/foundation/transaction_slot.h
@@ -10,11 +10,13 @@
 #include "coordination/foundation/action.h"
 #include "coordination/foundation/clock.h"
 
-/** A slot with all fields zero has no transaction in flight. Times are steady seconds. */
+/** A slot with all fields zero has no transaction in flight. Times are seconds of the monotonic
+ * clock. */
 typedef struct {
     uint64_t transaction_id; /**< transaction in flight; 0: none */
     double sent_at;
-    double retry_at;        /**< without a response, another transaction may be sent from then on */
+    double retry_at;        /**< if there is no response, another transaction may be sent from this
+                               time on */
     double answered_at;     /**< time of a response whose result the state cache does not show yet;
                                0: the cache shows the last result */
     double observed_at;     /**< when the state cache last showed a change of the slot's records */
--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -108,8 +108,8 @@
     return false;
 }
 
-/* Marks the completion records whose tasks are done but not recorded, because a flush failed. They
- * are written again with the next flush. */
+/* Marks the completion records whose tasks are done but not recorded, because a flush failed. The
+ * next flush writes these records again. */
 static void mark_unrecorded_chunks(mv_job *job)
 {
     for (unsigned i = 0; i < job->chunk_count; i++)
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* The pause after a failure is MV_RETRY_BASE_S times 2 to the power of n, where n is the number of
- * consecutive failures, but at most this number. */
+/* The pause after a failure doubles with each consecutive failure of the job, but at most this many
+ * times (see MV_RETRY_BASE_S). */
 #define BACKOFF_DOUBLINGS_MAX 6u
 
 static void free_job(gpointer data)
@@ -213,9 +213,10 @@
 
 /* The scheduler places the job with the least pending work first, so a large job would wait for as
  * long as small jobs keep arriving. Therefore a job of which no task has been placed precedes jobs
- * of the same guarantee and priority after MV_STARVED_AFTER_S, and all jobs after
- * MV_STARVED_SEVERELY_AFTER_S. The precedence ends when the job's first task is placed, so that
- * guaranteed work gives way to one task of one job at a time and to no more. */
+ * of the same guarantee and priority after MV_STARVED_AFTER_S. After MV_STARVED_SEVERELY_AFTER_S,
+ * the job precedes all jobs except services that precede all jobs (mv_job_precedes_all). The
+ * precedence ends when the job's first task is placed, so that guaranteed work gives way to one
+ * task of one job at a time and to no more. */
 unsigned mv_job_starvation_level(const mv_context *context, const mv_job *job)
 {
     double age_s = context->clock.now - job->accepted_at;
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -21,8 +21,8 @@
 
 /**
  * A live job, owned by the job table. Placements point to the job; the caller clears these pointers
- * before it removes the job. Times are steady seconds; this includes `accepted_at`, which the job's
- * record holds as wall time.
+ * before it removes the job. Times are seconds of the monotonic clock; this includes `accepted_at`,
+ * which the job's record holds as wall time.
  */
 typedef struct {
     mv_job_spec spec;
@@ -65,7 +65,8 @@
     bool deadline_unreachable;   /**< a task started now would end after the deadline */
     bool counted_in_usual_size;  /**< the team's latency_sensitive_job_cores include the job */
     unsigned starvation_level;   /**< precedence for the job's age: 0 none, 1 over jobs of the same
-                                    guarantee and priority, 2 over all jobs */
+                                    guarantee and priority, 2 over all jobs except
+                                    services for which mv_job_precedes_all is true */
     double pending_core_seconds; /**< estimated work of the pending tasks */
     double next_preemption_at;   /**< before this time, no task is preempted for the job */
 } mv_job;
@@ -133,7 +134,8 @@
 bool mv_objective_applies(const mv_objective *objective, mv_objective_kind kind, const mv_job *job);
 /**
  * Returns the precedence that a job gets for its age while none of its tasks has been placed: 0
- * none, 1 over jobs of the same guarantee and priority, 2 over all jobs.
+ * none, 1 over jobs of the same guarantee and priority, 2 over all jobs except services for which
+ * mv_job_precedes_all is true.
  */
 unsigned mv_job_starvation_level(const mv_context *context, const mv_job *job);
 /**
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -29,7 +29,8 @@
     uint64_t departed_revision; /**< revision of the last partition record that was read */
 } mv_state_cache;
 
-/** The state of this module. Times are steady seconds. The lease of a shard is in mv_shard. */
+/** The state of this module. Times are seconds of the monotonic clock. The lease of a shard is in
+ * mv_shard. */
 typedef struct {
     mv_context *context;
     mv_job_table *jobs;
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -169,7 +169,8 @@
 
 /* Splits a segment whose members do not fit one record. If every controller reads the current
  * format, the leader moves one slice per transaction, and the segment stays marked for a write
- * until the rest fits. Otherwise the leader moves all slices in one transaction. */
+ * until the remaining members fit one record. Otherwise the leader moves all slices in one
+ * transaction. */
 static void write_oversized_segment(mv_membership *membership, mv_partition_update *update,
                                     mv_shard *shard, mv_partition_segment *segment,
                                     const GArray *members)
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -220,8 +220,8 @@
 /* --- choosing owners --- */
 
 /* Chooses a shard to move for balance: after a controller came back, a shard whose owner has at
- * least two shards more than the controller with the lowest load moves to the latter. Returns the
- * shard's index and sets `to`, or returns -1 if no shard is to be moved. Two moves are at least
+ * least two shards more than the controller with the lowest load moves to that controller. Returns
+ * the shard's index and sets `to`, or returns -1 if no shard is to be moved. Two moves are at least
  * MV_REBALANCE_INTERVAL_S apart. */
 static int choose_shard_to_move(mv_membership *membership, const mv_node_entry **to)
 {
@@ -271,18 +271,19 @@
 
 /* The grants that the leader writes in one transaction. */
 typedef struct {
-    unsigned count;                /* number of shards */
-    mv_lease_holder *holders;      /* per shard: the lease after this transaction */
-    bool *changed;                 /* per shard: the lease has to be written */
-    GHashTable *given;             /* controller name -> number of shards granted to it here */
-    uint64_t term;                 /* the highest term granted so far */
-    int moved_index;               /* index of the shard moved for balance; -1: none */
+    unsigned count;           /* number of shards */
+    mv_lease_holder *holders; /* per shard: the lease after this transaction */
+    bool *changed;            /* per shard: the lease has to be written */
+    GHashTable *given;        /* controller name -> number of shards granted to the controller in
+                                 this transaction */
+    uint64_t term;            /* the highest term granted so far */
+    int moved_index;          /* index of the shard moved for balance; -1: none */
     const mv_node_entry *moved_to; /* the controller that gets the moved shard */
 } grant_round;
 
 /* Returns the controller that should be granted the shard, or NULL if the shard's owner keeps it.
- * If the owner resigned the shard or is isolated, also counts a resignation and starts the owner's
- * back-off. */
+ * If another controller gets a shard whose owner resigned it or is isolated, and the shard is not
+ * moved for balance, also counts a resignation and starts the owner's back-off. */
 static const mv_node_entry *choose_owner(mv_membership *membership, grant_round *round,
                                          mv_shard *shard)
 {
--- a/src/coordination/membership/state_cache.h
+++ b/src/coordination/membership/state_cache.h
@@ -24,8 +24,8 @@
 /** Marks the list of all records as complete. */
 void mv_state_cache_loaded(mv_membership *membership);
 /**
- * Records that the state service answered a watch that the controller sent at the steady time
- * `sent`: the cache holds every change made before that time.
+ * Records that the state service answered a watch that the controller sent at `sent`
+ * (seconds of the monotonic clock): the cache holds every change made before that time.
  */
 void mv_state_cache_watch_answered(mv_membership *membership, double sent);
 
--- a/src/coordination/scheduling/defragmentation.c
+++ b/src/coordination/scheduling/defragmentation.c
@@ -122,7 +122,8 @@
 /* Returns whether the shard has got no job for longer than the slowest machine type takes to boot.
  * While jobs keep arriving, a machine that was returned to the cloud is soon needed again, and a
  * new machine has to boot and to fetch the images first. Draining machines at any time made the
- * fleet cheaper, but a guarantee was met less often (Pine Bluff's fleet: 0.733 -> 0.714). */
+ * fleet cheaper, but a guarantee was met less often: in the simulation of the day plan for Pine
+ * Bluff's fleet, the score of met objectives (1 is best) fell from 0.733 to 0.714. */
 static bool arrivals_have_stopped(const mv_scheduler *scheduler, const mv_shard *shard)
 {
     return scheduler->context->clock.now > shard->last_job_at + longest_boot_s(scheduler);
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -142,8 +142,8 @@
 }
 
 /* Returns how many of the victims, taken in order, must stop so that a task of the job fits on the
- * machine; -1 if the task would not fit even if all of them stopped. Sets `*lost_core_seconds` to
- * the sum of their losses. */
+ * machine; -1 if the task would not fit even if all victims stopped. Sets `*lost_core_seconds` to
+ * the sum of the losses of the victims that must stop. */
 static int count_victims_needed(const mv_context *context, const mv_job *job,
                                 const mv_machine *machine, const GArray *victims,
                                 double *lost_core_seconds)
@@ -223,7 +223,8 @@
     return true;
 }
 
-/* Makes room for up to `needed` tasks of the job. One sorted list of machines serves all of them.
+/* Makes room for up to `needed` tasks of the job. One sorted list of machines serves all
+ * these tasks.
  */
 static void preempt_on_machines(mv_scheduler *scheduler, mv_job *job, unsigned needed)
 {
--- a/src/coordination/scheduling/services.c
+++ b/src/coordination/scheduling/services.c
@@ -52,7 +52,7 @@
 }
 
 /* Returns those of the machine types that can fetch an image of this size within the start
- * objective of a service, or all of `types` if none of them can. Without this choice, slots on
+ * objective of a service, or all of `types` if no type can. Without this choice, slots on
  * machines that took 10 s to fetch the image counted as reserved capacity. */
 static uint32_t types_with_fast_fetch(const mv_context *context, uint32_t types, double image_gb)
 {
--- a/src/protocol/agent_messages.h
+++ b/src/protocol/agent_messages.h
@@ -56,7 +56,7 @@
     char job_id[MV_ID_SIZE];
     uint32_t task;
     uint64_t attempt;
-    double grace_period_s; /* of a stop: time for the task to save a checkpoint */
+    double grace_period_s; /* in a stop command: time for the task to save a checkpoint */
 } mv_command;
 
 /**
--- a/src/safety_checks.h
+++ b/src/safety_checks.h
@@ -3,9 +3,9 @@
  * (docs/SAFETY.md).
  *
  * The code uses a check as SAFETY_CHECK(NAME, condition). A mutation test builds the controller
- * with MV_MUTATION_TESTING, disables one check and must then see a rule broken. This shows that the
- * check is needed and that the tests would notice its absence. In the service no check can be
- * disabled and SAFETY_CHECK is only the condition.
+ * with MV_MUTATION_TESTING, disables one check and must then see a rule broken. The broken rule
+ * shows that the check is needed and that the tests would notice its absence. In the service no
+ * check can be disabled and SAFETY_CHECK is only the condition.
  */
 #ifndef MV_SAFETY_CHECKS_H
 #define MV_SAFETY_CHECKS_H
@@ -74,7 +74,8 @@
     MV_CHECK_QUEUED,
     /** A controller reduces the number of commands in flight while the controller is overloaded. */
     MV_CHECK_COMMAND_WINDOW,
-    /** A heartbeat timeout does not count time in which the controller could receive none. */
+    /** A heartbeat timeout does not count time in which the controller could receive no heartbeats.
+     */
     MV_CHECK_LISTENING,
     /** A record that the state cache reads twice changes nothing the second time. */
     MV_CHECK_REPEATED_RECORD,
--- a/src/server/clocks.h
+++ b/src/server/clocks.h
@@ -1,7 +1,7 @@
 /**
  * Monotonic and wall clock of the process, in seconds, and deadlines for condition variables.
  *
- * All functions are thread-safe and none of them blocks.
+ * All functions are thread-safe, and no function blocks.
  */
 #ifndef MV_CLOCKS_H
 #define MV_CLOCKS_H
--- a/src/server/command_executor.h
+++ b/src/server/command_executor.h
@@ -17,9 +17,9 @@
 /** Frees the executor. Its threads must have been joined before. */
 void mv_command_executor_free(mv_command_executor *executor);
 /**
- * Starts the MV_COMMAND_THREADS workers that machines are assigned to, and enables the command
- * queues to start helpers when workers are stalled. Returns false if a worker cannot be started.
- * The threads end when the queues are closed.
+ * Starts the MV_COMMAND_THREADS worker threads that machines are assigned to, and enables the
+ * command queues to start helper threads when workers are stalled. Returns false if a worker cannot
+ * be started. The threads end when the queues are closed.
  */
 bool mv_command_executor_start(mv_command_executor *executor);
 #endif
--- a/src/server/final_job_cache.h
+++ b/src/server/final_job_cache.h
@@ -27,7 +27,7 @@
 bool mv_final_job_cache_get(mv_final_job_cache *cache, const char *id, mv_final_job *job);
 /**
  * Adds a final state, which is copied. A cache that holds MV_FINAL_CACHE_JOBS states is emptied
- * first; no state is lost, because the state service holds all of them.
+ * first; no state is lost, because the state service holds all final states.
  */
 void mv_final_job_cache_put(mv_final_job_cache *cache, const char *id, const mv_final_job *job);
 #endif
--- a/src/server/operator_endpoints.h
+++ b/src/server/operator_endpoints.h
@@ -1,8 +1,8 @@
 /**
  * Handlers of operators' requests and of health checks.
  *
- * The handlers fill `response`, whose body the caller owns. They take the controller's lock and
- * block on nothing else.
+ * The handlers fill `response`, whose body the caller owns. The handlers take the controller's lock
+ * and block on nothing else.
  */
 #ifndef MV_OPERATOR_ENDPOINTS_H
 #define MV_OPERATOR_ENDPOINTS_H
--- a/src/server/shared_controller.h
+++ b/src/server/shared_controller.h
@@ -23,9 +23,9 @@
 /** The queues, by the threads that take from them. Commands have the queues of command_queues.h. */
 typedef enum {
     MV_QUEUE_URGENT_TRANSACTIONS,
-    /* Deferrable transactions block their thread until the write budget has room for them. When
-     * they shared a queue with urgent transactions, two deferrable ones delayed the release of dead
-     * machines by two seconds. */
+    /* Deferrable transactions block their thread until the write budget has room for the writes.
+     * When they shared a queue with urgent transactions, two deferrable ones delayed the release of
+     * dead machines by two seconds. */
     MV_QUEUE_DEFERRABLE_TRANSACTIONS,
     MV_QUEUE_CLOUD_REQUESTS,
     MV_QUEUE_SHARD_DEMANDS,
--- a/src/storage/state_records.c
+++ b/src/storage/state_records.c
@@ -42,7 +42,7 @@
 
 /* --- list --- */
 
-/* Progress of a list: what the newest page says besides its records. */
+/* Position in a list that the state service returns in pages, taken from the newest page. */
 typedef struct {
     uint64_t store_revision;
     bool more;
