--- a/src/coordination/agents/health.c
+++ b/src/coordination/agents/health.c
@@ -203,8 +203,9 @@
 
 /* --- reclaim notices --- */
 
-/* Stops tasks with checkpoints early enough that each can save before the cloud reclaims the
- * machine. Tasks without checkpoints keep running, because they may still finish before that time.
+/* Stops tasks with checkpoints early enough that each task can save a checkpoint before the
+ * cloud reclaims the machine. Tasks without checkpoints keep running, because they may still finish
+ * before that time.
  */
 static void stop_before_reclaim(mv_agents *agents, mv_machine *machine)
 {
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -70,7 +70,7 @@
 
 /* Machine types that pending tasks of the shard could use; one bit for each type. */
 typedef struct {
-    uint32_t spot, ordinary; /* of spot machines, of ordinary machines */
+    uint32_t spot, ordinary; /* types of spot machines, types of ordinary machines */
 } demanded_types;
 
 static demanded_types types_demanded_locally(const mv_autoscaler *autoscaler, const mv_shard *shard)
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -27,8 +27,9 @@
 }
 
 /* Tells the connectivity package whether heartbeats are expected from the machines of this
- * controller's shards, and when the last one under the terms of these shards arrived. None is
- * expected while this process is overloaded, because heartbeats may then lie unread. */
+ * controller's shards, and when the last heartbeat under the terms of these shards arrived. No
+ * heartbeat is expected while this process is overloaded, because heartbeats may then lie unread.
+ */
 static void observe_workers(mv_controller *controller)
 {
     const mv_context *context = &controller->context;
--- a/src/coordination/jobs/job_records.c
+++ b/src/coordination/jobs/job_records.c
@@ -64,7 +64,8 @@
 /* --- chunks --- */
 
 /* Returns MV_CHUNK_TASKS_MAX if the digits of the job's largest chunk fit a value of the state
- * service, otherwise MV_CHUNK_TASKS_SMALL. A controller of format 1 knows only the former size. */
+ * service, otherwise MV_CHUNK_TASKS_SMALL. A controller of format 1 knows only
+ * MV_CHUNK_TASKS_MAX. */
 static unsigned choose_tasks_per_chunk(const mv_context *context, const mv_job *job)
 {
     double digits = MIN(job->spec.tasks, MV_CHUNK_TASKS_MAX) / (double)TASKS_PER_DIGIT;
--- a/src/server/command_executor.c
+++ b/src/server/command_executor.c
@@ -11,7 +11,7 @@
 
 typedef struct {
     mv_command_executor *executor;
-    unsigned index; /* of the worker and of its queue in command_queues.h */
+    unsigned index; /* index of the worker and of the worker's queue in command_queues.h */
 } command_worker;
 
 struct mv_command_executor {
--- a/src/server/job_endpoints.c
+++ b/src/server/job_endpoints.c
@@ -69,7 +69,7 @@
 } job_admission;
 
 /* Decides whether this controller may accept the job. If the job's record would be too large, this
- * function drops the machine types that do not exist, and repeated ones, from the job's list. */
+ * function drops the machine types that do not exist, and repeated types, from the job's list. */
 static job_admission check_admission(mv_shared_controller *shared, mv_job_spec *job)
 {
     job_admission admission = {.forwarding = MV_FORWARDING_ALLOWED};
--- a/src/server/state_session.c
+++ b/src/server/state_session.c
@@ -47,7 +47,7 @@
 }
 
 /* Reports the result of opening or renewing the session. `sent` is the time at which the request
- * was sent: the session's TTL counts from then. */
+ * was sent: the session's TTL counts from that time. */
 static void report_to_controller(mv_state_session *session, mv_state_store_result result,
                                  double sent)
 {
--- a/src/storage/write_budget.c
+++ b/src/storage/write_budget.c
@@ -12,7 +12,8 @@
 /* A waiting writer checks the budget again after this time at the latest, because a refusal or a
  * change of the number of writers can alter the refill rate meanwhile. */
 #define WAIT_MAX_S 1
-/* Added to each sleep, so that the tokens are in the bucket when the writer wakes up. */
+/* Microseconds that are added to each sleep, so that the tokens are in the bucket when the writer
+ * wakes up. */
 #define WAIT_EXTRA_US 1000
 
 struct mv_write_budget {
