--- a/src/connectivity/launch_gate.c
+++ b/src/connectivity/launch_gate.c
@@ -14,10 +14,10 @@
     return MIN(hold_down_s, MV_HOLD_DOWN_MAX_S);
 }
 
-/* Each counted break doubles the hold-down time, up to MV_HOLD_DOWN_MAX_S. Without this, a
+/* Each counted break doubles the hold-down time, up to MV_HOLD_DOWN_MAX_S. Without this doubling, a
  * partition that heals and breaks again within seconds would open the gate each time. While this
  * process is overloaded, only the first break in a row is counted, because the overload itself can
- * cause the further ones. */
+ * cause the further breaks. */
 static void count_break(mv_launch_gate *gate, double now, bool overloaded)
 {
     if (now > gate->broken_at + MV_HOLD_DOWN_RESET_S)
--- a/src/connectivity/report_log.h
+++ b/src/connectivity/report_log.h
@@ -1,6 +1,6 @@
 /**
  * The log of the link reports that this process has published: their sequence numbers and the
- * publication times of the newest ones.
+ * publication times of the newest reports.
  *
  * A peer's report names the newest report of this controller that the peer had received. The log
  * returns when that report was published, by this controller's own clock. The peer made its report
--- a/src/coordination/agents/heartbeat.h
+++ b/src/coordination/agents/heartbeat.h
@@ -2,8 +2,8 @@
  * Reconciliation of heartbeats: what a heartbeat proves, and which commands the agent gets for it.
  *
  * These rules hold for heartbeats and for the answers to direct commands, which carry a heartbeat:
- * - A heartbeat that is not newer by (agent epoch, sequence) than all earlier ones is a copy or
- *   arrived late. Such a heartbeat is stale and proves nothing.
+ * - A heartbeat that is not newer by (agent epoch, sequence) than all earlier heartbeats is a copy
+ *   or arrived late. Such a heartbeat is stale and proves nothing.
  * - A newer heartbeat under an older fencing token proves the agent epoch only. Such a heartbeat
  *   may be a copy that is minutes old and is new only to a controller that has not owned the
  *   machine for long. So the heartbeat does not prove that the machine is alive, and a task that
--- a/src/coordination/autoscaling/capacity_bins.h
+++ b/src/coordination/autoscaling/capacity_bins.h
@@ -38,7 +38,7 @@
                                  const mv_resource_demand *demand, const mv_shard *shard);
 /**
  * Returns how many slots the shard's machines lack for a reserve. Batch tasks do not reduce the
- * slots of a machine, because they may be stopped; replicas do.
+ * slots of a machine, because batch tasks may be stopped; replicas reduce the slots.
  */
 unsigned mv_capacity_bins_missing_slots(const GArray *bins, const mv_machine_catalog *catalog,
                                         const mv_resource_demand *reserve, const mv_shard *shard);
--- a/src/coordination/autoscaling/cloud_lists.h
+++ b/src/coordination/autoscaling/cloud_lists.h
@@ -12,8 +12,8 @@
 void mv_cloud_lists_types_received(mv_autoscaler *autoscaler, GArray *types);
 /**
  * Processes a page of the machine list (mv_listed_machine), and requests the next page if `more`
- * pages follow. `listed` is borrowed; NULL: the request failed. Ignores a page other than the one
- * in flight.
+ * pages follow. `listed` is borrowed; NULL: the request failed. Ignores a page other than the
+ * page whose request is in flight.
  */
 void mv_cloud_lists_page_received(mv_autoscaler *autoscaler, uint64_t action_id,
                                   const GArray *listed, bool more);
--- a/src/coordination/autoscaling/planner.c
+++ b/src/coordination/autoscaling/planner.c
@@ -84,7 +84,7 @@
 
 /* Plans instances of the offer's type, zone and kind for the tasks without a machine. Each run
  * plans one offer per demand, because a refusal by the cloud shows where the capacity of that offer
- * ends; the next run then chooses another one. */
+ * ends; the next run then chooses another offer. */
 static void plan_instances(plan *plan, const mv_resource_demand *demand, const mv_shard *shard,
                            unsigned left, mv_instance_offer *offer)
 {
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -7,7 +7,7 @@
 /* A request that got no response is given up after this many cloud time-outs. */
 #define REQUEST_TIMEOUTS 3.0
 /* Consecutive lists that lack a machine of an earlier list, after which the machine may be gone.
- * One list is not enough, because the cloud may return a list older than the one before. */
+ * One list is not enough, because the cloud may return a list older than the list before. */
 #define LISTS_MISSED_MAX 2
 /* Heartbeat intervals without a heartbeat after which a machine that is missing from the cloud's
  * lists is released. */
--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -16,7 +16,7 @@
 /* --- heartbeats --- */
 
 /* Answers that another controller has to handle the heartbeat. With `node` NULL, the response names
- * no controller, and the worker tries the next one. */
+ * no controller, and the worker tries the next controller. */
 static void redirect(const char *node, mv_heartbeat_response *response)
 {
     response->status = MV_HTTP_STATUS_MISDIRECTED;
--- a/src/coordination/jobs/completion_writer.c
+++ b/src/coordination/jobs/completion_writer.c
@@ -14,7 +14,7 @@
 /* --- the end of a job --- */
 
 /* Deletes as many completion records of the job as the transaction has room for. Garbage collection
- * deletes the remaining ones. */
+ * deletes the remaining records. */
 static void delete_chunks(const mv_job_table *jobs, const mv_job *job, mv_action *transaction)
 {
     GHashTableIter iter;
@@ -196,7 +196,7 @@
     mv_job_layout_chunks(jobs->context, job);
     /* The other controllers read from the job's first completion record whether the job is pending
      * or running, and report that to users. Therefore the owner writes this record again when the
-     * first task starts or the last one stops. */
+     * first task starts or the last task stops. */
     bool begins_or_stops = !job->tasks_running || !job->recorded_running;
     if (job->tasks_running != job->recorded_running && begins_or_stops)
         job->chunk_dirty[0] = true;
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -194,7 +194,7 @@
     uint64_t term = update->term;
     g_autoptr(GArray) members = mv_segment_members(membership, segment, &term);
     if (term != update->term && !update->may_raise_term)
-        return; /* the segment stays marked: a new term has to wait for the one in flight */
+        return; /* the segment stays marked: a new term has to wait for the term in flight */
     size_t bytes = mv_partition_members_bytes(members);
     if (!mv_segment_fits(membership->context, bytes, members->len)) {
         write_oversized_segment(membership, update, shard, segment, members);
--- a/src/server/shared_controller.h
+++ b/src/server/shared_controller.h
@@ -24,8 +24,8 @@
 typedef enum {
     MV_QUEUE_URGENT_TRANSACTIONS,
     /* Deferrable transactions block their thread until the write budget has room for the writes.
-     * When they shared a queue with urgent transactions, two deferrable ones delayed the release of
-     * dead machines by two seconds. */
+     * When they shared a queue with urgent transactions, two deferrable transactions delayed the
+     * release of dead machines by two seconds. */
     MV_QUEUE_DEFERRABLE_TRANSACTIONS,
     MV_QUEUE_CLOUD_REQUESTS,
     MV_QUEUE_SHARD_DEMANDS,
