--- a/src/coordination/autoscaling/capacity_bins.h
+++ b/src/coordination/autoscaling/capacity_bins.h
@@ -1,6 +1,6 @@
 /**
  * Bin packing: the capacity of each shard's machines, present or expected, and the tasks that fit
- * into it.
+ * into that capacity.
  */
 #ifndef MV_CAPACITY_BINS_H
 #define MV_CAPACITY_BINS_H
@@ -8,8 +8,8 @@
 
 /** A machine that runs, boots, is requested from the cloud, or is about to join a partition. */
 typedef struct {
-    double cores, gpus, ram_gb;           /**< free: neither in use nor packed with a task */
-    double service_cores, service_ram_gb; /**< in use by replicas */
+    double cores, gpus, ram_gb; /**< free resources: neither in use nor packed with a task */
+    double service_cores, service_ram_gb; /**< resources in use by replicas */
     int type_index;
     const char *zone_name; /**< owned by the machine, partition member, request or catalog */
     bool spot;
@@ -38,7 +38,7 @@
                                  const mv_resource_demand *demand, const mv_shard *shard);
 /**
  * Returns how many slots the shard's machines lack for a reserve. Batch tasks do not reduce the
- * slots of a machine, because they may be stopped; replicas do.
+ * slots of a machine, because batch tasks may be stopped; replicas reduce the slots.
  */
 unsigned mv_capacity_bins_missing_slots(const GArray *bins, const mv_machine_catalog *catalog,
                                         const mv_resource_demand *reserve, const mv_shard *shard);
--- a/src/coordination/autoscaling/idle_machines.c
+++ b/src/coordination/autoscaling/idle_machines.c
@@ -70,7 +70,7 @@
 
 /* Machine types that pending tasks of the shard could use; one bit for each type. */
 typedef struct {
-    uint32_t spot, ordinary; /* of spot machines, of ordinary machines */
+    uint32_t spot, ordinary; /* types of spot machines, types of ordinary machines */
 } demanded_types;
 
 static demanded_types types_demanded_locally(const mv_autoscaler *autoscaler, const mv_shard *shard)
@@ -110,7 +110,7 @@
 /* The inputs for one pass that decides which machines of a shard are transferable. */
 typedef struct {
     bool demanded_elsewhere, starving_elsewhere; /* whether other shards need idle machines, and
-                                                    whether they do so for starving jobs */
+                                                    whether they need them for starving jobs */
     demanded_types demanded_here;
     unsigned retained; /* idle machines that this pass still has to retain for future tasks */
 } transfer_policy;
--- a/src/coordination/autoscaling/planner.c
+++ b/src/coordination/autoscaling/planner.c
@@ -68,8 +68,9 @@
     return left;
 }
 
-/* Transfers the machines that belong to the same shard as the first one. A transfer takes machines
- * from one shard only; a later run of the planner transfers the machines of other shards. */
+/* Transfers the machines that belong to the same shard as the first machine. A transfer takes
+ * machines from one shard only; a later run of the planner transfers the machines of other shards.
+ */
 static void transfer_machines(mv_autoscaler *autoscaler, mv_shard *to, const GPtrArray *machines)
 {
     if (machines->len) {
@@ -83,7 +84,7 @@
 
 /* Plans instances of the offer's type, zone and kind for the tasks without a machine. Each run
  * plans one offer per demand, because a refusal by the cloud shows where the capacity of that offer
- * ends; the next run then chooses another one. */
+ * ends; the next run then chooses another offer. */
 static void plan_instances(plan *plan, const mv_resource_demand *demand, const mv_shard *shard,
                            unsigned left, mv_instance_offer *offer)
 {
--- a/src/coordination/controller/link_monitor.c
+++ b/src/coordination/controller/link_monitor.c
@@ -27,8 +27,9 @@
 }
 
 /* Tells the connectivity package whether heartbeats are expected from the machines of this
- * controller's shards, and when the last one under the terms of these shards arrived. None is
- * expected while this process is overloaded, because heartbeats may then lie unread. */
+ * controller's shards, and when the last heartbeat under the terms of these shards arrived. No
+ * heartbeat is expected while this process is overloaded, because heartbeats may then lie unread.
+ */
 static void observe_workers(mv_controller *controller)
 {
     const mv_context *context = &controller->context;
@@ -204,8 +205,8 @@
 }
 
 /* Returns whether a report was rejected because it cannot be parsed or comes from a node that the
- * settings do not name. Both indicate a fault. Other rejected reports are normal, for example those
- * that a peer sent before it restarted. */
+ * settings do not name. Either reason indicates a fault. Other rejected reports are normal, for
+ * example those that a peer sent before it restarted. */
 static bool is_invalid_report(mv_link_report_status status)
 {
     return status == MV_LINK_REPORT_MALFORMED || status == MV_LINK_REPORT_UNKNOWN_NODE;
--- a/src/coordination/membership/partition_writer.c
+++ b/src/coordination/membership/partition_writer.c
@@ -169,7 +169,8 @@
 
 /* Splits a segment whose members do not fit one record. If every controller reads the current
  * format, the leader moves one slice per transaction, and the segment stays marked for a write
- * until the rest fits. Otherwise the leader moves all slices in one transaction. */
+ * until the remaining members fit one record. Otherwise the leader moves all slices in one
+ * transaction. */
 static void write_oversized_segment(mv_membership *membership, mv_partition_update *update,
                                     mv_shard *shard, mv_partition_segment *segment,
                                     const GArray *members)
@@ -193,7 +194,7 @@
     uint64_t term = update->term;
     g_autoptr(GArray) members = mv_segment_members(membership, segment, &term);
     if (term != update->term && !update->may_raise_term)
-        return; /* the segment stays marked: a new term has to wait for the one in flight */
+        return; /* the segment stays marked: a new term has to wait for the term in flight */
     size_t bytes = mv_partition_members_bytes(members);
     if (!mv_segment_fits(membership->context, bytes, members->len)) {
         write_oversized_segment(membership, update, shard, segment, members);
