--- a/tests/sim.h
+++ b/tests/sim.h
@@ -26,7 +26,7 @@
     SIM_DEPOSED_COMMANDS,           /* commands under a lower fencing token than the machine's */
     SIM_CANCELLED_AT_LEADER_CHANGE, /* jobs cancelled within seconds after their leader ended */
     SIM_EARLY_LAUNCHES, /* tasks that start within five seconds after their machine booted */
-    SIM_DUPLICATES_FOR_NEXT_LEADER, /* old heartbeats sent to controllers when a leader begins */
+    SIM_DUPLICATES_FOR_NEXT_LEADER, /* old heartbeats sent again when a new leader starts */
     SIM_CRASH_IN_OUTAGE,            /* controllers that end during an outage of the state store */
     SIM_CANCELLED_AT_LIMIT,         /* jobs cancelled while their team is at its quota */
     SIM_CANCELLED,                  /* jobs cancelled */
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -297,8 +297,8 @@
 /** Event handler: the machine in `data` (fake_worker) sends its next heartbeat. The event repeats
  * until the machine is gone. */
 void sim_worker_step(sim *simulation, gpointer data);
-/** If the controller has just become leader, sends the held duplicates of heartbeats to all
- * controllers. */
+/** If the controller has just become leader, sends each held duplicate of a heartbeat to a random
+ * controller. */
 void sim_release_held_heartbeats(sim *simulation, const sim_node *node);
 /** Frees an mv_heartbeat on the heap; a GDestroyNotify. */
 void sim_heartbeat_free(gpointer heartbeat);
