--- a/src/transport/peer_server.c
+++ b/src/transport/peer_server.c
@@ -101,8 +101,7 @@
         else if (is_stopping(server))
             return NULL;
         else
-            g_usleep(
-                ACCEPT_RETRY_US); /* the process has no free socket; a socket may become free */
+            g_usleep(ACCEPT_RETRY_US); /* no socket is free now; a socket may become free */
     }
 }
 
