--- a/.ci/c_source.py
+++ b/.ci/c_source.py
@@ -1,4 +1,5 @@
-"""What the checks in this folder share: which files there are, and their code without comments and strings."""
+"""Functions that the checks in this folder share: they list the tracked source files, remove comments
+and strings from the code, and find declarations."""
 import os
 import re
 import subprocess
@@ -8,16 +9,19 @@
 
 COMMENT_OR_STRING = re.compile(
     r'/\*.*?\*/|//[^\n]*|"(?:\\.|[^"\\\n])*"|\'(?:\\.|[^\'\\\n])*\'', re.S)
-# What stands at file scope without being a declaration: a call of a macro, and the braces of extern "C".
+# A call of a macro and the opening of an extern "C" block can stand at file scope, but neither is a
+# declaration. code_of() has blanked the string "C".
 MACRO_CALL = re.compile(r"[A-Z][A-Z0-9_]*\s*\(")
 LANGUAGE_BLOCK = re.compile(r"extern\s*\{")
-# Braces that are no body of a function.
+# Matches a declaration up to a brace that opens a type definition or an initializer, not the body of
+# a function.
 TYPE_OR_VARIABLE = re.compile(r"(?:typedef|struct|union|enum)\b[^()]*\{|[^()]*=\s*\{")
 PREPROCESSOR_LINE = re.compile(r"^[ \t]*#(?:[^\n]*\\\n)*[^\n]*", re.M)
 
 
 def tracked(*patterns):
-    """The tracked files that match; a star matches slashes too. It is an error if a pattern matches none."""
+    """Returns the tracked files that match the patterns and exist in the checkout. A `*` in a pattern
+    also matches slashes. Exits with an error if a pattern matches no file."""
     files = []
     for pattern in patterns:
         found = subprocess.run(["git", "ls-files", "--", pattern], cwd=ROOT, check=True,
@@ -35,12 +39,13 @@
 
 
 def blank(match):
-    """As many spaces as the match has characters; its line breaks stay, so that line numbers hold."""
+    """Returns the match with each character replaced by a space. Line breaks stay, so that positions
+    and line numbers do not change."""
     return re.sub(r"[^\n]", " ", match.group())
 
 
 def code_of(text):
-    """The text with comments and the insides of strings blanked."""
+    """Returns the text with comments, strings and character constants blanked."""
     return COMMENT_OR_STRING.sub(blank, text)
 
 
@@ -53,7 +58,8 @@
 
 
 def closing(code, opening):
-    """The position of what closes the parenthesis or brace at `opening`; the end of the code without it."""
+    """Returns the position of the parenthesis or brace that closes the one at `opening`, or the length
+    of the code if none does."""
     opener = code[opening]
     closer = {"(": ")", "{": "}"}[opener]
     depth = 0
@@ -68,7 +74,8 @@
 
 
 def end_of_declaration(code, start):
-    """The position after the semicolon of a declaration, or after the body of a function."""
+    """Returns the position after the declaration that begins at `start`: after its semicolon, or after
+    the body of a function."""
     position = start
     while position < len(code):
         if code[position] == ";":
@@ -83,7 +90,7 @@
 
 
 def declarations(code):
-    """Start and text of each declaration at file scope."""
+    """Yields the start and the text of each declaration at file scope."""
     code = without_preprocessor(code)
     position = 0
     while position < len(code):
