--- a/.ci/c_source.py
+++ b/.ci/c_source.py
@@ -12,7 +12,7 @@
 # A call of a macro and the opening of an extern "C" block can stand at file scope, but neither is a
 # declaration. code_of() has blanked the string "C".
 MACRO_CALL = re.compile(r"[A-Z][A-Z0-9_]*\s*\(")
-LANGUAGE_BLOCK = re.compile(r"extern\s*\{")
+EXTERN_BLOCK = re.compile(r"extern\s*\{")
 # Matches a declaration up to a brace that opens a type definition or an initializer, not the body of
 # a function.
 TYPE_OR_VARIABLE = re.compile(r"(?:typedef|struct|union|enum)\b[^()]*\{|[^()]*=\s*\{")
@@ -94,12 +94,12 @@
     code = without_preprocessor(code)
     position = 0
     while position < len(code):
-        language_block = LANGUAGE_BLOCK.match(code, position)
+        extern_block = EXTERN_BLOCK.match(code, position)
         macro_call = MACRO_CALL.match(code, position)
         if code[position].isspace() or code[position] in "};":
             position += 1
-        elif language_block:
-            position = language_block.end()
+        elif extern_block:
+            position = extern_block.end()
         elif macro_call:
             position = closing(code, macro_call.end() - 1) + 1
         else:
