--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,11 +1,11 @@
 /**
- * Codecs of the messages of users and agents, and of records: sound ones keep their meaning,
- * malformed ones are refused with the name of the field, random bytes neither crash a parser nor
- * leak nor pass for valid.
+ * Tests the codecs of the messages of users and agents and of the stored records. A valid message
+ * keeps its meaning, a malformed one is refused with the name of the wrong field, and random bytes
+ * neither crash a parser nor leak memory nor pass for a valid message.
  *
- * Rules of the protocol page: "a field that may be null may also be omitted" and "fields that a
- * receiver does not know must be ignored", with which versions read one another's records; 400 for
- * a body that is malformed; the limits of sizes.
+ * Rules of the protocol page: "a field that may be null may also be omitted"; "fields that a
+ * receiver does not know must be ignored", which lets each version read the records of the other
+ * versions; a malformed body gets 400; sizes have limits.
  */
 #include "submission_builder.h"
 
@@ -13,8 +13,8 @@
 
 #include <string.h>
 
-/* The document in these bytes, which must be one. The caller owns it and keeps the bytes until it
- * is freed. */
+/* Parses the bytes, which must be a valid document. The caller owns the document and keeps the
+ * bytes until the document is freed. */
 static mv_document *parse_document(GBytes *bytes)
 {
     gsize size;
@@ -26,7 +26,7 @@
 
 /* --- submissions --- */
 
-/* The name of the field that is wrong, NULL if the submission is sound. */
+/* Returns the name of the wrong field, or NULL if the submission is valid. */
 static const char *parse_submission(GBytes *bytes, mv_job_spec *job)
 {
     g_autoptr(mv_document) document = parse_document(bytes);
@@ -42,7 +42,7 @@
     g_assert_cmpuint(job.tasks, ==, 16);
     g_assert_cmpfloat(job.deadline_s, <, 0);
     mv_job_spec_clear(&job);
-    /* A field that may be null may also be left out. */
+    /* A field that may be null may also be omitted. */
     g_autoptr(GBytes) without_deadline = pack_submission(WIRE_DEADLINE, NULL);
     g_assert_null(parse_submission(without_deadline, &job));
     mv_job_spec_clear(&job);
@@ -99,7 +99,7 @@
     }
 }
 
-/* A service keeps its shape through a record and back. */
+/* A job that is a service is still a service after its record is written and read back. */
 static void service_keeps_its_shape(void)
 {
     mv_job_spec job;
@@ -118,7 +118,7 @@
     mv_job_spec_clear(&job);
 }
 
-/* --- bytes that are no message --- */
+/* --- malformed bytes --- */
 
 static void malformed_bytes_are_refused(void)
 {
@@ -126,18 +126,19 @@
         const char *bytes;
         size_t size;
     } malformed[] = {{"", 0},
-                     {"\xc1", 1},                 /* never used */
-                     {"\x81\xa1", 2},             /* cut short */
-                     {"\xc4\x01x", 3},            /* binary */
-                     {"\xd4\x01x", 3},            /* extension */
-                     {"\xdd\xff\xff\xff\xff", 5}, /* a list of four thousand million items */
-                     {"\xdf\xff\xff\xff\xff", 5}, /* a map of as many */
-                     {"\xdb\xff\xff\xff\xff", 5}, /* a text of as many */
-                     {"\xc0\xc0", 2},             /* two values */
+                     {"\xc1", 1},                 /* a type byte that MessagePack never uses */
+                     {"\x81\xa1", 2},             /* a truncated map */
+                     {"\xc4\x01x", 3},            /* a binary value */
+                     {"\xd4\x01x", 3},            /* an extension value */
+                     {"\xdd\xff\xff\xff\xff", 5}, /* a list of 2^32 - 1 items */
+                     {"\xdf\xff\xff\xff\xff", 5}, /* a map of 2^32 - 1 entries */
+                     {"\xdb\xff\xff\xff\xff", 5}, /* a text of 2^32 - 1 bytes */
+                     {"\xc0\xc0", 2},             /* two values where one is expected */
                      {"\x91\x91\x91\x91\x91\x91", 6}};
     for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
         g_assert_null(mv_document_parse(malformed[i].bytes, malformed[i].size));
-    /* Nested deeper than any message: refused or read, but no crash. */
+    /* The parser may refuse or read lists nested deeper than any message has them, but it must not
+     * crash. */
     GByteArray *deep = g_byte_array_new();
     for (int i = 0; i < 60000; i++)
         g_byte_array_append(deep, (const guint8 *)"\x91", 1);
@@ -152,7 +153,8 @@
         g_array_unref(list);
 }
 
-/* Every parser returns, whatever the object is, and a job that passes is within the limits. */
+/* Calls every parser with the object. Each parser must return, and a job that the parser accepts
+ * must be within the limits. */
 static void parse_as_everything(const msgpack_object *object)
 {
     mv_job_spec job;
@@ -180,14 +182,15 @@
 #define RANDOM_BYTES_MAX 200
 #define RANDOM_SEED 20261201
 
-/* The sound message with one to three bytes changed, so that it gets far. */
+/* Changes one to three bytes of a valid message. The message stays nearly valid, so the parsers
+ * read much of it before they find the error. */
 static void change_some_bytes(GRand *random, guint8 *bytes, gsize size)
 {
     for (int k = g_rand_int_range(random, 1, 4); k > 0; k--)
         bytes[g_rand_int_range(random, 0, (gint32)size)] = (guint8)g_rand_int_range(random, 0, 256);
 }
 
-/* Whatever the bytes are, every parser returns. */
+/* Every parser returns for random bytes and for a valid message with a few bytes changed. */
 static void random_bytes_are_survived(void)
 {
     GRand *random = g_rand_new_with_seed(RANDOM_SEED);
@@ -218,7 +221,8 @@
 
 /* --- heartbeats --- */
 
-/* Two tasks, the words of whose states are unknown to this version. */
+/* Writes two tasks: the exit reason of the first and the status of the second are words that this
+ * version does not know. */
 static void write_tasks_in_unknown_states(mv_writer *writer)
 {
     mv_write_text(writer, WIRE_TASKS);
@@ -249,7 +253,8 @@
     return mv_writer_finish(writer);
 }
 
-/* Unknown words are read as what frees nothing: an error, a running task. */
+/* An unknown exit reason is read as an error and an unknown status as a running task, because
+ * neither reading frees the resources of a task that may still run. */
 static void heartbeat_with_unknown_words_frees_nothing(void)
 {
     mv_heartbeat heartbeat;
@@ -267,8 +272,9 @@
 
 /* --- records between versions ---
  *
- * Records as the version before services wrote them, byte for byte, and ours as it reads them: it
- * looks fields up by name and passes over what it does not know. */
+ * This version must read the records of the version before services, which stand here byte for
+ * byte. The old version must read the records of this version: it looks fields up by name and
+ * ignores fields that it does not know. */
 
 static void old_node_record_is_read(void)
 {
@@ -277,7 +283,7 @@
     g_autoptr(GBytes) bytes = g_bytes_new_static(record, sizeof record - 1);
     g_autoptr(mv_document) document = parse_document(bytes);
     g_assert_true(mv_lease_holder_parse(mv_document_root(document), &holder));
-    g_assert_cmpuint(holder.format, ==, 0); /* it does not say: old */
+    g_assert_cmpuint(holder.format, ==, 0); /* a record without a format is old */
     g_assert_cmpuint(holder.incarnation, ==, 7);
     mv_lease_holder_clear(&holder);
 }
@@ -298,7 +304,8 @@
     g_assert_cmpfloat(member->rented_at_wall, >, 1e9);
 }
 
-/* What we leave out of a partition record reads as it was. */
+/* A partition record omits the spot flag and the term if they are false and zero, and the fraction
+ * of a second of the rental time. The reader gets false, zero and the whole second. */
 static void omitted_fields_read_as_they_were(void)
 {
     g_autoptr(GArray) members = g_array_new(FALSE, TRUE, sizeof(mv_partition_member));
@@ -312,7 +319,8 @@
     g_assert_true(!member->spot && member->term == 0 && member->rented_at_wall == 1e9);
 }
 
-/* Our node record has the fields that the old version asks for, under its names. */
+/* The node record of this version has the fields that the old version reads, under the names that
+ * the old version uses. */
 static void our_node_record_is_read_by_old_version(void)
 {
     const mv_lease_holder ours = {.node = "n0", .incarnation = 9, .format = MV_FORMAT_CURRENT};
--- a/tests/test_connectivity.c
+++ b/tests/test_connectivity.c
@@ -1,6 +1,6 @@
 /**
- * Tests of src/connectivity alone: classification of links, the launch gate, receipt of link
- * reports, unrecorded completions.
+ * Tests the modules of src/connectivity without the rest of a controller: the classification of
+ * links, the launch gate, the receipt of link reports and the unrecorded completions.
  */
 #include "connectivity/connectivity.h"
 #include "connectivity/completions.h"
@@ -10,16 +10,16 @@
 
 #define CONTROLLERS_MAX 5
 #define STEP_S 0.1
-#define FIRST_INCARNATION 100 /* of n0; n1 has the next */
+#define FIRST_INCARNATION 100 /* of n0; the incarnation of n1 is one more, and so on */
 
-/* Controllers n0, n1, ... that publish link reports to one another, and which links work. */
+/* Controllers n0, n1, ... that publish link reports to each other, and the state of their links. */
 typedef struct {
     mv_settings settings[CONTROLLERS_MAX];
     mv_peer_settings peers[CONTROLLERS_MAX][CONTROLLERS_MAX];
     mv_connectivity *controllers[CONTROLLERS_MAX];
-    bool state_answers[CONTROLLERS_MAX]; /* the state service answers it */
-    bool reachable[CONTROLLERS_MAX];     /* by the other controllers, and they by it */
-    bool publishes[CONTROLLERS_MAX];     /* reports at all */
+    bool state_answers[CONTROLLERS_MAX]; /* the state service answers the controller */
+    bool reachable[CONTROLLERS_MAX];     /* messages to and from other controllers arrive */
+    bool publishes[CONTROLLERS_MAX];     /* the controller publishes link reports */
     unsigned count;
     double now, renewed_at;
 } link_fixture;
@@ -92,7 +92,9 @@
     mv_connectivity_watch_answered(controller, fixture->now);
 }
 
-/* One step of a controller: renewal and watch, reports to all peers, classification. */
+/* Runs one step of a controller. If `renews` is true, the controller renews its session and gets
+ * the response to its watch. Then the controller exchanges link reports with all peers and
+ * classifies its links. */
 static void step(link_fixture *fixture, unsigned index, bool renews)
 {
     if (renews)
@@ -162,7 +164,7 @@
     advance(&fixture, 4);
     const mv_connectivity *observer = fixture.controllers[0];
     g_assert_true(mv_connectivity_peer_is_isolated(observer, fixture.now, "n1", 101));
-    /* Its former process and other controllers did not. */
+    /* Neither the former process of n1 nor n2 has reported that it is isolated. */
     g_assert_false(mv_connectivity_peer_is_isolated(observer, fixture.now, "n1", 100));
     g_assert_false(mv_connectivity_peer_is_isolated(observer, fixture.now, "n2", 102));
     fixture_clear(&fixture);
@@ -201,7 +203,8 @@
     fixture_clear(&fixture);
 }
 
-/* The outage ends for all but one: its peers report so. */
+/* An outage ends for n0 and n1 but not for n2. The peers of n2 report that the state service
+ * answers them, so n2 classifies itself as isolated. */
 static void outage_that_ends_for_peers_is_isolation(void)
 {
     link_fixture fixture;
@@ -218,7 +221,8 @@
     fixture_clear(&fixture);
 }
 
-/* Two of five are isolated: they do not take one another for an outage, for three are answered. */
+/* Two of five controllers lose the state service. Neither takes the loss of both for an outage,
+ * because the state service answers the other three controllers. */
 static void isolated_minority_is_no_outage(void)
 {
     link_fixture fixture;
@@ -246,7 +250,8 @@
     fixture_clear(&fixture);
 }
 
-/* Controllers that publish no reports are no witnesses, for either side. */
+/* A peer that publishes no reports is no witness: its silence shows neither that the state service
+ * answers the peer nor that the state service is down. */
 static void peers_without_reports_are_no_witnesses(void)
 {
     link_fixture fixture;
@@ -288,7 +293,8 @@
     fixture_clear(&fixture);
 }
 
-/* The session lives, but no watch is answered. */
+/* The session of n0 is renewed, but none of its watches is answered, so its state cache becomes
+ * stale. */
 static void isolated_when_cache_falls_behind(void)
 {
     link_fixture fixture;
@@ -297,7 +303,8 @@
     const double began_at = fixture.now;
     while (fixture.now < began_at + 9) {
         advance(&fixture, STEP_S);
-        /* n0 alone gets answers to renewals, but to no watch. */
+        /* The state service answers the renewals of n0 but not its watches; the other controllers
+         * get answers to both. */
         fixture.state_answers[0] = false;
         mv_connectivity_session_renewed(fixture.controllers[0], fixture.now, FIRST_INCARNATION,
                                         fixture.now);
@@ -329,7 +336,8 @@
     }
 }
 
-/* A process that was paused for a while counts no break of the link beyond the first. */
+/* While a process is overloaded, for example because it was paused, the gate counts only the first
+ * of several breaks of the link. */
 static void breaks_while_overloaded_count_once(void)
 {
     mv_launch_gate gate = {0};
@@ -359,7 +367,7 @@
     g_assert_cmpuint(gate.break_count, ==, 1);
 }
 
-/* --- reports that must not count --- */
+/* --- reports that must be ignored --- */
 
 static void repeated_report_is_stale(void)
 {
@@ -425,7 +433,8 @@
     fixture_clear(&fixture);
 }
 
-/* A report that was delayed for minutes is as old as it is: it is witness to nothing. */
+/* The age of a report counts from its publication, not from its arrival. A report that arrives a
+ * minute late is therefore no evidence that the peer is reachable now. */
 static void delayed_report_is_old(void)
 {
     link_fixture fixture;
@@ -443,7 +452,8 @@
     fixture_clear(&fixture);
 }
 
-/* A controller that restarted is accepted, and no delayed report of its former process counts. */
+/* After a controller restarts, its peers accept reports of the new process and refuse a delayed
+ * report of the former process, even one with a higher sequence number. */
 static void report_of_former_process_is_stale(void)
 {
     link_fixture fixture;
@@ -478,7 +488,8 @@
     g_snprintf(name, size, "j-%06u", number);
 }
 
-/* At the bound nothing is dropped: what does not fit is refused, and its task stays uncleared. */
+/* A full collection drops none of its completions. The collection refuses a new completion, so the
+ * task of the refused completion stays uncleared. */
 static void completions_beyond_the_bound_are_refused(void)
 {
     mv_unrecorded_completions *completions = mv_completions_new(2000);
@@ -504,7 +515,7 @@
         g_assert_true(mv_completions_add(completions, job, task));
 }
 
-/* Packs one report's completions and enters their jobs in `published`. */
+/* Packs the completions of one report and adds the jobs of these completions to `published`. */
 static void publish_completions(mv_unrecorded_completions *completions, GHashTable *published)
 {
     g_autoptr(mv_link_report) report = mv_link_report_new();
@@ -520,7 +531,8 @@
     g_assert_cmpuint(bytes, <=, MV_COMPLETIONS_PUBLISHED_BYTES_MAX);
 }
 
-/* A job of 100,000 tasks takes kilobytes; what does not fit one report follows in the next. */
+/* The completions of a job of 100,000 tasks take kilobytes. Jobs that do not fit into one report
+ * follow in the next reports. */
 static void large_sets_are_spread_over_reports(void)
 {
     mv_unrecorded_completions *completions = mv_completions_new(MV_COMPLETIONS_BYTES_MAX);
--- a/tests/test_defragmentation.c
+++ b/tests/test_defragmentation.c
@@ -1,22 +1,23 @@
 /**
- * Defragmentation: machines beyond the present work are drained, returned to the cloud once no more
- * jobs come, and take work again when some does.
+ * Tests defragmentation. A controller drains machines that the present work does not need, returns
+ * them to the cloud when no more jobs arrive, and places work on them again when a job arrives.
  *
- * Rules of the protocol page: a machine is charged by the second until it is gone, and `ran_twice`:
- * a task that moves starts on its new machine only when it has left the old one, which the fixture
- * asserts at every launch.
+ * Rules of the protocol page: a machine is charged by the second until it is gone; `ran_twice`: a
+ * task that moves starts on its new machine only after it has left the old machine. The fixture
+ * asserts `ran_twice` at every launch.
  */
 #include "controller_helpers.h"
 
 mv_safety_check mv_disabled_check = MV_CHECK_NONE;
 
-#define QUIET_S 40.0 /* no jobs for longer than the fixture's machines take to boot */
+#define QUIET_S 40.0 /* without new jobs; longer than the fixture's machines take to boot */
 #define TASK_CORES 8
-#define FLEET 8        /* machines; two are of 64 cores, the others of 32 */
+#define FLEET 8        /* machines; two have 64 cores, the others 32 */
 #define FLEET_TASKS 40 /* tasks of TASK_CORES that fill the fleet's 320 cores */
 #define CHECKPOINT_COST_S 5
 
-/* A job whose tasks take TASK_CORES each; interval 0: it saves no checkpoints. */
+/* Adds a job whose tasks use TASK_CORES cores each. With an interval of 0 s the job saves no
+ * checkpoints. */
 static void add_job(controller_fixture *fixture, const char *id, unsigned tasks,
                     double checkpoint_interval_s)
 {
@@ -32,7 +33,8 @@
     fixture_put_job(fixture, spec, id, "refit", "img-1");
 }
 
-/* The controller owns the fleet and returns no machine of it. */
+/* Makes the controller the owner of the fleet. The controller returns none of the machines, because
+ * the operator settings allow it to keep all of them idle. */
 static void hold_fleet_without_release(controller_fixture *fixture)
 {
     fixture_own_fleet(fixture);
@@ -45,8 +47,9 @@
     return count_machines(fixture->controller, MACHINE_DRAINING);
 }
 
-/* How many machines of the fleet are returned in 80 s, with one task running, where idle ones are
- * otherwise kept for ten minutes. */
+/* Returns how many machines of the fleet the controller returns to the cloud within 80 s. Without
+ * defragmentation the controller would keep an idle machine for ten minutes. One task runs at
+ * first; if `jobs_keep_coming` is true, a job of one task arrives every 10 s. */
 static unsigned machines_returned(bool jobs_keep_coming)
 {
     controller_fixture fixture = {.machines = FLEET, .report_s = 1};
@@ -61,13 +64,14 @@
         fixture_advance(&fixture, 10);
     }
 
-    g_assert_cmpuint(fixture.stops, ==, 0); /* without checkpoints nothing moves */
+    g_assert_cmpuint(fixture.stops, ==, 0); /* tasks without checkpoints do not move */
     const unsigned returned = count_machines(fixture.controller, MACHINE_RELEASE_PENDING);
     fixture_free(&fixture);
     return returned;
 }
 
-/* Machines beyond the work are returned soon once no more jobs come, the one with a task is not. */
+/* When no more jobs arrive, the controller soon returns the machines without work and keeps the
+ * machine that runs a task. While jobs keep arriving, the controller returns no machine. */
 static void surplus_is_returned_when_no_jobs_come(void)
 {
     const unsigned returned = machines_returned(false);
@@ -76,7 +80,7 @@
     g_assert_cmpuint(machines_returned(true), ==, 0);
 }
 
-/* With a new job the shard is quiet no more, and its draining machines take work again. */
+/* A new job ends the quiet period of the shard, and the draining machines take work again. */
 static void draining_machines_take_new_jobs(void)
 {
     controller_fixture fixture = {.machines = FLEET, .report_s = 1};
@@ -93,8 +97,8 @@
     fixture_free(&fixture);
 }
 
-/* Tasks that were pending all along, and fit nowhere else, are bound to draining machines too;
- * those count as needed then, although no job has come. */
+/* Tasks that the team's quota kept pending, and that fit on no other machine, are placed on
+ * draining machines too. These machines then count as needed, although no new job has arrived. */
 static void draining_machines_take_pending_tasks(void)
 {
     controller_fixture fixture = {.machines = FLEET, .report_s = 1};
@@ -113,7 +117,7 @@
     fixture_free(&fixture);
 }
 
-/* The job's tasks on a machine are done. */
+/* Completes the tasks of the job on the machine. */
 static void complete_tasks_of(controller_fixture *fixture, unsigned machine, const char *job_id)
 {
     for (guint k = 0; k < fixture->tasks[machine]->len; k++) {
@@ -135,14 +139,15 @@
     return count;
 }
 
-/* Tasks with checkpoints leave a draining machine when others that have their image have room. */
+/* Tasks with checkpoints leave a draining machine if other machines have room and already hold the
+ * image of the tasks. */
 static void tasks_with_checkpoints_move(void)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1};
     hold_fleet_without_release(&fixture);
     add_job(&fixture, "j-000094", 5, 20);
     fixture_advance(&fixture, 5);
-    add_job(&fixture, "j-000095", 15, 0); /* together all 160 cores */
+    add_job(&fixture, "j-000095", 15, 0); /* both jobs together use all 160 cores */
     fixture_advance(&fixture, 5);
     g_assert_cmpuint(fixture.launches, ==, 20);
 
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -1,10 +1,12 @@
 /**
- * Fault combinations: two faults at once. Seeded runs bring each combination about, count that it
- * took place, and check every rule of the protocol page ("Rules") after each step; with the safety
- * check that answers for it disabled, its rule must be seen broken.
+ * Tests fault combinations, that is, two faults at once. Seeded runs cause each combination, count
+ * how often it occurred, and check every rule of the protocol page ("Rules") after each step. For
+ * some combinations a further test disables the safety check that guards a rule and asserts that
+ * the rule is then broken.
  *
- * Most combinations come from "Delayed messages" and "Outages and cuts": a command, a heartbeat or
- * a transaction that arrives late meets a controller, a leader or an owner that has changed.
+ * Most combinations come from "Delayed messages" and "Outages and cuts" of the protocol page: a
+ * command, a heartbeat or a transaction arrives late, after the controller, the leader or the owner
+ * has changed.
  */
 #include "sim_assert.h"
 
@@ -13,7 +15,8 @@
 static const sim_plan BASE = {
     .cancel = 0.2, .faults_end_at = 160, .deadline_at = 600, .shards = 1, .jobs = 40};
 
-/* Every rule holds with `count` seeds, in which the combination took place so often at least. */
+/* Asserts that every rule holds with `count` seeds, and that the combination occurred at least
+ * `combinations_min` times in these runs together. */
 static void assert_rules_hold(sim_plan *plan, guint32 first_seed, guint32 count,
                               unsigned combinations_min)
 {
@@ -24,7 +27,8 @@
     g_assert_cmpuint(combinations, >=, combinations_min);
 }
 
-/* The same with one shard, then with three. */
+/* Runs assert_rules_hold with the number of shards of the plan, which is one, and again with three
+ * shards. */
 static void assert_rules_hold_on_shards(sim_plan plan, guint32 first_seed, guint32 count,
                                         unsigned combinations_min)
 {
@@ -33,14 +37,16 @@
     assert_rules_hold(&plan, first_seed + 50, count, combinations_min);
 }
 
-/* With a check disabled, some seed of these must break the rule that the check stands for. */
+/* Asserts that with the check disabled at least one of the seeds 1 to 39 breaks the rule that the
+ * check guards. */
 static void assert_check_is_needed(mv_safety_check check, const sim_plan *plan, const char *rule)
 {
     sim_assert_rule_breaks(check, plan, rule, 1, 40);
 }
 
-/* The leader is refused by the state store, then all are for longer than cancel_s, which is 30 s in
- * the simulation; jobs are cancelled in between. */
+/* The state store refuses the leader first. Then an outage of the state store affects all
+ * controllers for 40 s, which is longer than cancel_s (30 s in the simulation). Users cancel jobs
+ * in between. */
 static const sim_plan CANCELLED_BEFORE_OUTAGE = {.leader_refused_then_outage = 40,
                                                  .cancel = 0.6,
                                                  .faults_end_at = 170,
@@ -67,7 +73,7 @@
     assert_check_is_needed(MV_CHECK_LEASE, &CANCELLED_BEFORE_OUTAGE, "ran_cancelled");
 }
 
-/* One task of a job runs six times as long as the others, and leaders end meanwhile. */
+/* One task of a job runs six times as long as the other tasks, and leaders crash meanwhile. */
 static void leader_crash_amid_uneven_runtimes(void)
 {
     sim_plan plan = BASE;
@@ -98,7 +104,7 @@
     assert_rules_hold_on_shards(plan, 401, 5, 5);
 }
 
-/* All controllers are down together, for longer than the lease of 12 s. */
+/* All controllers are down at the same time for 13 s, which is longer than the lease of 12 s. */
 static void all_controllers_away_longer_than_lease(void)
 {
     sim_plan plan = BASE;
@@ -150,7 +156,8 @@
     assert_rules_hold_on_shards(plan, 901, 4, 4);
 }
 
-/* Headroom for latency-sensitive work must not leave other work pending for 90 s. */
+/* Capacity that the scheduler reserves as headroom for latency-sensitive work must not keep other
+ * work pending for 90 s. */
 static void starvation_timeout_check_is_needed(void)
 {
     sim_plan plan = BASE;
@@ -304,7 +311,7 @@
     assert_rules_hold(&plan, 2021, 6, 10);
 }
 
-/* Four a second for minutes, a quarter of them cancelled. */
+/* Users submit about four single-task jobs a second for minutes and cancel a quarter of them. */
 static void many_single_task_jobs_cancelled(void)
 {
     sim_plan plan = BASE;
--- a/tests/test_fault_injection.c
+++ b/tests/test_fault_injection.c
@@ -1,5 +1,5 @@
 /**
- * Tests of the fault injection kit: the history checker, scenarios and scripts, the relay, the
+ * Tests the fault injection kit: the history checker, scenarios and scripts, the relay, the
  * program, and a short run with real processes.
  */
 #include "history_checker.h"
@@ -27,7 +27,7 @@
     g_array_append_val(events, event);
 }
 
-/* A job of two tasks that breaks no rule. */
+/* Returns the history of a job of two tasks, which breaks no rule. The caller owns the events. */
 static GArray *valid_history(void)
 {
     GArray *events = g_array_new(FALSE, TRUE, sizeof(mv_event));
@@ -44,7 +44,8 @@
     return events;
 }
 
-/* Exactly one violation, of that rule; none if it is NULL. */
+/* Asserts that the checker finds exactly one violation, of the given rule, or none if `rule` is
+ * NULL. */
 static void assert_violation(const GArray *events, bool complete, const char *rule)
 {
     g_autoptr(mv_check_result) result = mv_history_check(events, complete);
@@ -64,7 +65,7 @@
     g_assert_cmpuint(result->repeated_starts, ==, 0);
 }
 
-/* Each planted violation is found, and only that. */
+/* The checker finds each planted violation and reports no other violation. */
 static void planted_violations_are_found(void)
 {
     static const struct {
@@ -188,8 +189,8 @@
 
 /* --- relay --- */
 
-#define ARRIVAL_TIMEOUT_MS 30000 /* for what must arrive, however slow the machine */
-#define LOSS_TIMEOUT_MS 150      /* for what must not arrive */
+#define ARRIVAL_TIMEOUT_MS 30000 /* for bytes that must arrive, also on a slow machine */
+#define LOSS_TIMEOUT_MS 150      /* for bytes that must not arrive */
 
 typedef enum { ECHO_RECEIVED, ECHO_CONNECTION_ENDED, ECHO_TIMED_OUT } echo_result;
 
@@ -197,10 +198,10 @@
     int listener;
     GThread *echo_thread;
     mv_relay *relay;
-    uint16_t port; /* of the relay */
+    uint16_t port; /* port of the relay */
 } relay_fixture;
 
-/* Sends back what it receives. */
+/* Accepts connections one after another and sends each received byte back. */
 static gpointer serve_echo(gpointer data)
 {
     const int listener = GPOINTER_TO_INT(data);
@@ -263,7 +264,8 @@
     g_assert_cmpint(send_byte(fd, ARRIVAL_TIMEOUT_MS), ==, ECHO_RECEIVED);
     mv_relay_set(fixture->relay, &dropping);
     g_assert_cmpint(send_byte(fd, LOSS_TIMEOUT_MS), ==, ECHO_TIMED_OUT);
-    /* Healed, a connection that lost something ends; a new one is whole. */
+    /* When the fault ends, the relay closes a connection that has lost data; a new connection
+     * works. */
     mv_relay_set(fixture->relay, &healed);
     g_assert_cmpint(send_byte(fd, ARRIVAL_TIMEOUT_MS), !=, ECHO_RECEIVED);
     close(fd);
@@ -313,8 +315,8 @@
     return result;
 }
 
-/* Three real controllers, links that break and heal in one direction: one final response for each
- * job. */
+/* Three real controllers run while their links break and heal in one direction. Every job
+ * must get exactly one final response. */
 static void short_scenario_holds_every_rule(void)
 {
     g_auto(program_result) result = run_program("run", SHORT_SCENARIO, MV_PROGRAM);
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -1,9 +1,10 @@
 /**
- * The HTTP server on a loopback port, without the rest of a controller: the thread that answers at
- * once takes pauses, and with all request threads busy polls are rejected before submissions.
+ * Tests the HTTP server on a loopback port, without the rest of a controller. The event thread,
+ * which answers requests that cannot block, pauses after each batch of requests. While all request
+ * threads are busy, the server rejects polls before it rejects submissions.
  *
- * Rules of the protocol page: a poll that gets 503 is repeated at any later time, a submission for
- * 60 s only.
+ * Rules of the protocol page: a client may repeat a poll that got 503 at any later time, but it
+ * repeats a submission for 60 s only.
  */
 #include "transport/http_server.h"
 
@@ -50,7 +51,8 @@
     response->status = 503;
 }
 
-/* A server on a free port, which `endpoint` gets. The caller closes it. */
+/* Starts a server on a free port and stores the address in `endpoint`. The caller frees the server.
+ */
 static mv_http_server *start_server(mv_endpoint *endpoint, const mv_http_handler *handler)
 {
     mv_http_limits limits = {.connections = 2 * MV_REQUEST_THREADS, .idle_s = 60};
@@ -62,7 +64,7 @@
     return server;
 }
 
-/* The status of a GET. */
+/* Sends a GET request and returns the status of the response. */
 static int get_status(const mv_endpoint *endpoint, const char *path)
 {
     char address[80];
@@ -82,7 +84,7 @@
 
 /* --- pauses --- */
 
-/* The thread that answers at once pauses after so many requests, and not before. */
+/* The event thread pauses after every MV_HTTP_REQUEST_BATCH requests, and not before. */
 static void event_thread_pauses_after_each_batch(void)
 {
     mv_endpoint endpoint = {0};
@@ -103,11 +105,11 @@
 #define POLL_QUEUE_MAX 2u
 #define SUBMISSION_QUEUE_MAX 4u
 
-/* Requests that have a thread wait here until the test opens the barrier. */
+/* The request threads wait at this barrier, each with one request, until the test opens it. */
 static pthread_mutex_t barrier = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t barrier_opened = PTHREAD_COND_INITIALIZER;
-static bool barrier_is_open; /* under `barrier`, like the next */
-static unsigned requests_at_barrier;
+static bool barrier_is_open;         /* protected by `barrier` */
+static unsigned requests_at_barrier; /* protected by `barrier` */
 
 static void answer_after_barrier(void *context, const char *method, const char *path,
                                  const uint8_t *body, size_t size, mv_http_response *response)
@@ -156,7 +158,7 @@
     return NULL;
 }
 
-/* Clients whose requests are all accepted. */
+/* Clients whose requests the server accepts: each request gets a thread or is queued. */
 typedef struct {
     mv_http_server *server;
     mv_endpoint endpoint;
@@ -164,8 +166,8 @@
     unsigned count;
 } accepted_clients;
 
-/* Waits until so many requests have a thread and so many are queued; fails only by the time limit
- * of the test. */
+/* Waits until at least `processed` requests have a thread and exactly `queued` requests are queued.
+ * If that never happens, the time limit of the test ends the wait. */
 static void wait_for_load(const accepted_clients *accepted, unsigned processed, unsigned queued)
 {
     while (count_requests_at_barrier() < processed ||
@@ -189,7 +191,7 @@
     }
 }
 
-/* Requests are queued until there are so many. */
+/* Starts clients until `queued_max` requests are queued. */
 static void fill_queue(accepted_clients *accepted, const char *path, unsigned queued_max)
 {
     unsigned queued = accepted->count - MV_REQUEST_THREADS;
@@ -207,8 +209,8 @@
     }
 }
 
-/* Polls are rejected while submissions may still be queued; what is queued is answered in the end.
- */
+/* The server rejects polls while it still queues submissions, and it answers every queued request
+ * after the request threads are free again. */
 static void polls_are_rejected_before_submissions(void)
 {
     const mv_http_handler handler = {.answer = answer_after_barrier,
--- a/tests/test_launch_gate.c
+++ b/tests/test_launch_gate.c
@@ -1,10 +1,11 @@
 /**
- * The launch gate: what a controller does with the health of its links. It holds launches while it
- * is isolated, tells its peers of completions that it cannot record, shows the operators why, and
- * as leader grants the shards of an isolated owner to others.
+ * Tests the launch gate and what else a controller does when its links fail. An isolated controller
+ * holds launches, publishes to its peers the completions that it cannot record, and shows the
+ * operators why launches are held. The leader grants the shards of an isolated owner to other
+ * controllers.
  *
- * Rules of the protocol page: "Outages and cuts" - a node has no way to tell an outage from a 503
- * that only it receives, and agents whose heartbeats it answers go on - and `ran_twice`.
+ * Rules of the protocol page: "Outages and cuts" (a node cannot tell an outage from a 503 that only
+ * this node receives, and the agents whose heartbeats this node answers continue) and `ran_twice`.
  */
 #include "controller_helpers.h"
 
@@ -12,7 +13,7 @@
 
 #define JOB_ID "j-000001"
 #define FLEET 4
-#define LOADING_S 6 /* after it all machines have reported under the present token */
+#define LOADING_S 6 /* by then all machines have reported with the current fencing token */
 
 static controller_fixture *fixture_new(void)
 {
@@ -30,7 +31,8 @@
     g_free(fixture);
 }
 
-/* The link report of a peer that has received our latest. The caller owns it. */
+/* Returns the link report of a peer that has received the latest report of the fixture's
+ * controller. The caller owns the returned report. */
 static mv_link_report *report_of_peer(controller_fixture *fixture, const char *name,
                                       uint64_t sequence)
 {
@@ -54,7 +56,8 @@
     mv_controller_link_report_received(fixture->controller, fixture->now, report);
 }
 
-/* A heartbeat of the machine arrives, and the machine executes the commands of the response. */
+/* Delivers a heartbeat of the machine to the controller. The machine executes the commands of the
+ * response. */
 static void answer_heartbeat(controller_fixture *fixture, unsigned machine)
 {
     mv_heartbeat heartbeat;
@@ -68,8 +71,8 @@
     mv_heartbeat_clear(&heartbeat);
 }
 
-/* Time passes without the state store; heartbeats come and are answered. The fixture counts the
- * launches. */
+/* Lets time pass in which the controller does not reach the state store but answers heartbeats. The
+ * fixture counts the launches. */
 static void pass_isolated(controller_fixture *fixture, double seconds)
 {
     for (double until = fixture->now + seconds - 1e-9; fixture->now < until;) {
@@ -85,8 +88,9 @@
 
 /* --- launches --- */
 
-/* An isolated owner starts nothing, neither new tasks nor those that were placed before; stops and
- * renewals go on. Afterwards all is started, the same tasks once. */
+/* An isolated owner launches neither new tasks nor tasks that were placed before the cut, but it
+ * continues to stop tasks and to renew the leases of the agents. After the cut the owner launches
+ * each of these tasks exactly once. */
 static void isolated_owner_holds_launches(void)
 {
     controller_fixture *fixture = fixture_new();
@@ -105,7 +109,7 @@
     launch_gate_fixture_free(fixture);
 }
 
-/* Commands with launches wait in a queue. */
+/* Adds a job and keeps the commands with its launches in the queue of the fixture. */
 static void queue_launches(controller_fixture *fixture)
 {
     fixture->held_commands = g_queue_new();
@@ -116,7 +120,7 @@
     g_assert_cmpuint(g_queue_get_length(fixture->held_commands), >, 0);
 }
 
-/* The commands in the queue are dropped; how many launches they carried. */
+/* Drops the queued commands and returns the number of launches in them. */
 static unsigned drop_queued_commands(controller_fixture *fixture)
 {
     unsigned launches = 0;
@@ -135,8 +139,8 @@
     return mv_controller_action_is_valid(fixture->controller, fixture->now, first);
 }
 
-/* A launch that waited in a queue since before the cut is no longer valid when its turn comes; once
- * dropped, it is sent when the gate is open again. */
+/* A launch that has been queued since before the cut is no longer valid when the queue reaches it.
+ * The launch is dropped, and the controller sends it again after the gate has opened. */
 static void queued_launch_expires_when_isolated(void)
 {
     controller_fixture *fixture = fixture_new();
@@ -144,7 +148,9 @@
     queue_launches(fixture);
     g_assert_true(first_queued_is_valid(fixture));
 
-    pass_ticks_only(fixture, 35); /* recent enough for a command, too long ago for the gate */
+    /* After 35 ticks (3.5 s) the command has not expired yet, but the last response of the state
+     * store is too old for the gate. */
+    pass_ticks_only(fixture, 35);
 
     g_assert_false(first_queued_is_valid(fixture));
     mv_disabled_check = MV_CHECK_LAUNCH_GATE;
@@ -159,10 +165,10 @@
     launch_gate_fixture_free(fixture);
 }
 
-/* --- completions that are not recorded --- */
+/* --- unrecorded completions --- */
 
-/* The link report of an owner that is isolated while all tasks of the job complete. The caller owns
- * it. */
+/* Returns the link report of an owner that is isolated while all tasks of the job complete. The
+ * caller owns the report. */
 static mv_link_report *report_of_isolated_owner(void)
 {
     controller_fixture *owner = fixture_new();
@@ -177,11 +183,12 @@
     return report;
 }
 
-/* How many tasks of the job the next owner launches after the report of the isolated one. */
+/* Returns how many tasks of the job the next owner launches after it has received the report of the
+ * isolated owner. */
 static unsigned launches_of_next_owner(void)
 {
     g_autoptr(mv_link_report) report = report_of_isolated_owner();
-    controller_fixture *next_owner = fixture_new(); /* new machines: no task is reported there */
+    controller_fixture *next_owner = fixture_new(); /* new machines report no tasks */
     fixture_add_batch_job(next_owner, 1, 2);
     g_strlcpy(report->node, "n1", sizeof report->node);
 
@@ -193,8 +200,8 @@
     return launches;
 }
 
-/* An isolated owner publishes the completions it observed; the next one takes these tasks for done
- * and does not run them again, though their machines are gone. */
+/* An isolated owner publishes the completions that it observed. The next owner treats the tasks as
+ * done and does not run them again, although the machines that ran them are gone. */
 static void published_completions_are_not_run_again(void)
 {
     g_assert_cmpuint(launches_of_next_owner(), ==, 0);
@@ -208,12 +215,12 @@
     return true;
 }
 
-/* Completions of a task that does not exist and of an unknown job, beside one that is sound. */
+/* Adds one valid completion, one of a task that does not exist and one of an unknown job. */
 static void add_unknown_completions(mv_link_report *report)
 {
     mv_unrecorded_completions *completions = mv_completions_new(1000);
     mv_completions_add(completions, JOB_ID, 0);
-    mv_completions_add(completions, JOB_ID, TASKS); /* there is none of that number */
+    mv_completions_add(completions, JOB_ID, TASKS); /* the job has tasks 0 to TASKS - 1 */
     mv_completions_add(completions, "j-999999", 0);
     mv_completions_pack(completions, any_job, NULL, 1000, report->completions);
     mv_completions_free(completions);
@@ -228,7 +235,8 @@
     g_ptr_array_add(report->completions, malformed);
 }
 
-/* Completions of unknown jobs, of tasks that do not exist and in malformed sets change nothing. */
+/* The controller ignores a completion of an unknown job or of a task that does not exist, and a
+ * malformed set. */
 static void invalid_completions_are_ignored(void)
 {
     controller_fixture *fixture = fixture_new();
@@ -257,8 +265,8 @@
     g_assert_true(mv_text_is(mv_field_find(link, "held"), held));
 }
 
-/* The overview has this controller's link class and why launches are held, and what its peers
- * report of theirs. */
+/* The overview shows the link class of this controller, why this controller holds launches, and the
+ * link classes that the peers report. */
 static void overview_shows_link_classes(void)
 {
     controller_fixture *fixture = fixture_new();
@@ -282,7 +290,7 @@
     launch_gate_fixture_free(fixture);
 }
 
-/* --- the leader grants shards to others --- */
+/* --- the leader grants shards of isolated owners --- */
 
 static void count_grants(controller_fixture *fixture, const mv_action *action, gpointer grants)
 {
@@ -290,7 +298,8 @@
     refuse_scale_out(fixture, action);
 }
 
-/* How often the leader grants shard 1 anew while n1, its owner, reports this link class. */
+/* Returns how often the leader grants shard 1 anew while n1, the owner of the shard, reports this
+ * link class. */
 static unsigned grants_of_shard(uint64_t owner_incarnation, mv_link_class link_class)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1, .launch_gate = true};
@@ -315,9 +324,10 @@
 }
 
 #define OWNER_INCARNATION 8
-#define FORMER_INCARNATION 6 /* of an earlier process of the same controller */
+#define FORMER_INCARNATION 6 /* of an earlier process of n1 */
 
-/* The owner of shard 1 reports that it alone is isolated. */
+/* The leader grants shard 1 anew only if the current process of the owner reports that the owner is
+ * isolated; a report of an outage or of a former process of the owner changes nothing. */
 static void shard_of_isolated_owner_is_granted_anew(void)
 {
     g_assert_cmpuint(grants_of_shard(OWNER_INCARNATION, MV_LINKS_ISOLATED), >, 0);
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -1,9 +1,9 @@
 /**
- * The log's limit on repeated messages, used by several threads at once: every event is printed,
- * and no message is counted twice.
+ * Tests the log's limit on repeated messages while several threads log at once: at least one
+ * message of each event is printed, and no message is counted twice.
  *
- * The format of the lines (`repeated=`) is what docs/OPERATIONS.md tells the operators. The thread
- * sanitizer runs this test too.
+ * docs/OPERATIONS.md describes the format of the lines (`repeated=`) to the operators. This test
+ * also runs with the thread sanitizer.
  */
 #include "telemetry/log.h"
 
@@ -40,7 +40,8 @@
     pthread_barrier_destroy(&all_started);
 }
 
-/* What the threads wrote to standard error; the caller frees it. */
+/* Runs the threads and returns the text that they wrote to standard error. The caller frees the
+ * text. */
 static char *capture_log_of_threads(void)
 {
     g_autofree char *path = NULL;
@@ -60,8 +61,9 @@
     return text;
 }
 
-/* The event is printed, and its messages printed and counted as suppressed are at most those
- * logged. Only a later line says how many were suppressed. */
+/* At least one line of the event is printed. The printed lines and the messages counted as
+ * suppressed are together at most the messages logged. The first line of the event counts no
+ * suppressed messages, because nothing was suppressed before it. */
 static void assert_repeats_limited(char *const *lines, const char *event)
 {
     guint64 messages = 0;
@@ -85,7 +87,7 @@
 {
     g_assert_true(mv_log_init("n0"));
     g_autofree char *text = capture_log_of_threads();
-    g_printerr("%s", text); /* the thread sanitizer's reports are in it too */
+    g_printerr("%s", text); /* also contains the reports of the thread sanitizer */
     g_auto(GStrv) lines = g_strsplit(text, "\n", -1);
     for (size_t i = 0; i < G_N_ELEMENTS(EVENTS); i++)
         assert_repeats_limited(lines, EVENTS[i]);
--- a/tests/test_network_partition_properties.cpp
+++ b/tests/test_network_partition_properties.cpp
@@ -1,9 +1,10 @@
 /**
- * Properties of the connectivity module and of whole deployments, over generated cases that
- * RapidCheck shrinks to the smallest that fails. The seed is fixed in CMakeLists.txt.
+ * Tests properties of the connectivity module and of whole deployments with generated cases.
+ * RapidCheck shrinks a failing case to the smallest case that still fails. CMakeLists.txt sets a
+ * fixed seed.
  *
- * Rules of the protocol page: "Outages and cuts" and "Delayed messages" - messages between
- * controllers may come late, twice or not at all -, and all of "Rules" for whole deployments.
+ * Rules of the protocol page: "Outages and cuts" and "Delayed messages" (messages between
+ * controllers may arrive late, twice or never), and, for whole deployments, all of "Rules".
  */
 #include <glib.h>
 #include <msgpack.h>
@@ -52,8 +53,8 @@
            (step.links == MV_LINKS_SUSPECTED && step.no_response_s >= MV_SUSPECT_GRACE_S);
 }
 
-/* After a cut all launches are held until the links were steady for at least the first hold-down,
- * and a watch that was sent meanwhile was answered. */
+/* After a cut the gate holds all launches until the links have been stable for at least the initial
+ * hold-down time and a watch that was sent after the cut has been answered. */
 void gate_opens_after_hold_down()
 {
     const auto steps = *rc::gen::container<std::vector<gate_step>>(any_gate_step());
@@ -80,7 +81,7 @@
     }
 }
 
-/* Cuts that follow one another double the hold-down up to its bound. */
+/* Each cut that soon follows another doubles the hold-down time, up to MV_HOLD_DOWN_MAX_S. */
 void each_cut_doubles_hold_down()
 {
     const int cuts = *rc::gen::inRange(1, 12);
@@ -98,7 +99,7 @@
     }
 }
 
-/* --- completions that are not recorded --- */
+/* --- unrecorded completions --- */
 
 enum class completion_event { OBSERVED, RECORDED, JOB_ENDED };
 
@@ -108,7 +109,8 @@
     uint32_t task;
 };
 
-/* Of seven steps four observe a completion, two record one and one ends a job. */
+/* Maps a number from 0 to 6 to an event: four of the numbers observe a completion, two record a
+ * completion and one ends a job. */
 completion_event completion_event_of(int number)
 {
     return number < 4   ? completion_event::OBSERVED
@@ -116,7 +118,8 @@
                         : completion_event::JOB_ENDED;
 }
 
-/* Mostly one of the first twenty tasks of a job, which come again, else any of its tasks. */
+/* Maps a number to a task of a job. Six of seven numbers map to one of the first twenty tasks, so
+ * these tasks occur repeatedly; the other numbers map to any task of the job. */
 uint32_t task_of(int number)
 {
     return uint32_t(number % 7 ? number % 20 : number);
@@ -129,7 +132,8 @@
     return true;
 }
 
-/* What peers read of the completions that are not recorded. */
+/* Publishes the unrecorded completions in a link report and returns the tasks that a peer reads
+ * from the report. */
 completion_model published(mv_unrecorded_completions *completions)
 {
     completion_model found;
@@ -157,7 +161,7 @@
     return count;
 }
 
-/* The step happens to the completions and to the model of them. */
+/* Applies the step to the completions and to the model. */
 void apply_step(mv_unrecorded_completions *completions, completion_model &model,
                 const completion_step &step)
 {
@@ -181,8 +185,8 @@
         it = it->second.empty() ? model.erase(it) : std::next(it);
 }
 
-/* What is held is what was observed and neither recorded nor over, and it arrives as it was
- * published. */
+/* The collection holds exactly the completions that were observed, that are not recorded and whose
+ * job has not ended. Peers read exactly these completions from the link report. */
 void completions_are_held_until_recorded()
 {
     const auto event = rc::gen::map(rc::gen::inRange(0, 7), completion_event_of);
@@ -201,7 +205,8 @@
     mv_completions_free(completions);
 }
 
-/* Any bytes but a sound set are refused, and nothing is read beyond them. */
+/* Random bytes either are refused or give only tasks within the limit of 100, and the parser does
+ * not read beyond the bytes. */
 void malformed_sets_are_refused()
 {
     const auto bytes = *rc::gen::container<std::vector<uint8_t>>(rc::gen::arbitrary<uint8_t>());
@@ -215,7 +220,7 @@
     g_bytes_unref(set.tasks);
 }
 
-/* --- link reports that are late, repeated, or of a former process --- */
+/* --- link reports that arrive late or twice, or come from a former process --- */
 
 struct report_in_transit {
     mv_link_report *report;
@@ -238,10 +243,11 @@
 
 struct report_step {
     report_event event;
-    unsigned which; /* of the reports in transit */
+    unsigned which; /* index of a report in transit, modulo the number of reports */
 };
 
-/* Of ten steps three publish to b, two publish to a, two reach each, one restarts b. */
+/* Maps a number from 0 to 9 to an event: three of the numbers publish a report to b, two publish a
+ * report to a, two deliver a report to b, two deliver a report to a, and one restarts b. */
 report_event report_event_of(int number)
 {
     return number < 3   ? report_event::TO_B
@@ -251,8 +257,8 @@
                         : report_event::B_RESTARTS;
 }
 
-/* Two controllers, of which b may restart, and the reports between them, which may arrive in any
- * order, twice or never. */
+/* Two controllers, a and b, and the reports in transit between them. Controller b may restart, and
+ * reports may arrive in any order, twice or never. */
 struct two_controllers {
     mv_peer_settings peer_of_a{}, peer_of_b{};
     const mv_settings settings_a = settings_of("a", &peer_of_a, "b");
@@ -262,7 +268,7 @@
     uint64_t boot_of_b = 7;
     std::vector<report_in_transit> to_a, to_b;
     double now = 100;
-    double newest_accepted = 0; /* when the newest report that a accepted was made, as a takes it */
+    double newest_accepted = 0; /* a's estimate of when its newest accepted report was published */
 
     two_controllers() = default;
     two_controllers(const two_controllers &) = delete;
@@ -284,8 +290,9 @@
         boot_of_b++;
     }
 
-    /* What a accepts was made after the time that a takes it for, and never before an earlier one.
-     */
+    /* Delivers a report to a. If a accepts the report, then a's estimate of the time of publication
+     * must not be later than the true time, and it must not be earlier than a's estimate for the
+     * newest report that a accepted before. */
     void deliver_to_a(const report_in_transit &transit)
     {
         if (mv_connectivity_receive(a, now, transit.report) != MV_LINK_REPORT_ACCEPTED)
@@ -321,7 +328,7 @@
     }
 };
 
-/* Whatever report is accepted was made after the time that it is taken for. */
+/* A controller never takes an accepted report for newer than the report is. */
 void reports_are_never_taken_for_newer()
 {
     const auto event = rc::gen::map(rc::gen::inRange(0, 10), report_event_of);
@@ -333,7 +340,7 @@
         controllers.apply_step(step);
 }
 
-/* --- deployments under any schedule of cuts --- */
+/* --- whole deployments under any schedule of cuts --- */
 
 std::string describe(const std::vector<sim_cut> &cuts)
 {
@@ -366,7 +373,7 @@
     const auto cuts = *rc::gen::container<std::vector<sim_cut>>(any_cut());
     const unsigned seed = *rc::gen::inRange(1u, 1000000u);
     sim_plan plan{};
-    plan.launch_gate = seed % 5 != 0; /* the rules hold without it too */
+    plan.launch_gate = seed % 5 != 0; /* the rules must hold without the launch gate too */
     plan.cancel = 0.2;
     plan.faults_end_at = 110;
     plan.deadline_at = 600;
@@ -384,7 +391,8 @@
 
 } // namespace
 
-/* With "parts" the module alone, with "schedules" whole deployments; without, both. */
+/* The argument "parts" runs the properties of the connectivity module alone, and "schedules" runs
+ * the property of whole deployments. Without an argument the program runs both. */
 int main(int argc, char **argv)
 {
     const std::string which = argc > 1 ? argv[1] : "all";
--- a/tests/test_network_partitions.c
+++ b/tests/test_network_partitions.c
@@ -1,8 +1,8 @@
 /**
- * Network partitions: seeded runs in which single links and single directions of controllers fail,
- * and every rule of the protocol page ("Rules", "Outages and cuts") is checked after each step.
- * Besides: a controller that is isolated alone launches nothing beyond the stated bound, and no job
- * gets a second final record.
+ * Tests network partitions. In seeded runs, single links or single directions of the links of a
+ * controller fail, and every rule of the protocol page ("Rules", "Outages and cuts") is checked
+ * after each step. The runs also check that a controller that alone is isolated launches nothing
+ * later than the stated bound allows, and that no job gets a second final record.
  */
 #include "sim_assert.h"
 
@@ -15,7 +15,7 @@
                               .shards = SIM_SHARDS_BY_SEED,
                               .jobs = 40};
 
-/* A link that breaks and heals within 0.2 to 5 s, twenty times. */
+/* A flapping link breaks and heals twenty times, each time within 0.2 to 5 s. */
 static void rules_hold_with_flapping_links(void)
 {
     sim_plan plan = BASE;
@@ -26,7 +26,8 @@
     sim_assert_rules_hold(&plan, 21, 6);
 }
 
-/* Cut off at the moment of the transaction of a launch, of completions, of a job's last task. */
+/* A controller is cut off from the state store at the moment when it sends the transaction of a
+ * launch, of completions or of a job's last task. */
 static void rules_hold_when_cut_at_transactions(void)
 {
     unsigned cuts = 0;
@@ -38,7 +39,7 @@
     g_assert_cmpuint(cuts, >=, 16);
 }
 
-/* What is sent to the state store is carried out, no response arrives. */
+/* The state store executes the requests of a controller, but the responses do not arrive. */
 static void rules_hold_when_state_responses_are_lost(void)
 {
     sim_plan plan = BASE;
@@ -46,7 +47,8 @@
     sim_assert_rules_hold(&plan, 61, 8);
 }
 
-/* Only watches get no response: the session lives, the state cache grows old. */
+/* Watches alone get no response, so the session of the controller stays valid while its state cache
+ * becomes stale. */
 static void rules_hold_when_watches_are_lost(void)
 {
     sim_plan plan = BASE;
@@ -54,7 +56,8 @@
     sim_assert_rules_hold(&plan, 81, 8);
 }
 
-/* A controller receives from its peers and reaches none, with and without the state store. */
+/* A controller receives messages from its peers but reaches none of them, both while it reaches the
+ * state store and while it does not. */
 static void rules_hold_with_asymmetric_peer_links(void)
 {
     sim_plan plan = BASE;
@@ -65,7 +68,8 @@
     sim_assert_rules_hold(&plan, 121, 4);
 }
 
-/* Without state store and peers, but with its agents; now and then it is the leader. */
+/* A controller reaches its agents but neither the state store nor its peers. At times the isolated
+ * controller is the leader. */
 static void rules_hold_when_controllers_are_isolated(void)
 {
     sim_plan plan = BASE;
@@ -82,7 +86,7 @@
     sim_assert_rules_hold(&plan, 161, 6);
 }
 
-/* Controllers crash while they have completions that are not recorded. */
+/* Controllers crash while they hold unrecorded completions. */
 static void rules_hold_when_unrecorded_completions_are_lost(void)
 {
     sim_plan plan = BASE;
@@ -92,7 +96,7 @@
     sim_assert_rules_hold(&plan, 181, 6);
 }
 
-/* One controller is of a version, or has settings, that publishes no link reports. */
+/* One controller publishes no link reports, because of its version or its settings. */
 static void rules_hold_when_a_peer_publishes_no_reports(void)
 {
     sim_plan plan = BASE;
@@ -102,7 +106,7 @@
     sim_assert_rules_hold(&plan, 201, 6);
 }
 
-/* The operators' stricter choices for an outage of everybody. */
+/* The operators choose the stricter launch settings for an outage that affects all controllers. */
 static void rules_hold_with_stricter_launch_settings(void)
 {
     sim_plan plan = BASE;
@@ -130,9 +134,10 @@
     sim_assert_rules_hold(&plan, 261, 6);
 }
 
-/* Found by the property test (test_network_partition_properties.cpp): a controller cut off from its
- * machines for some seconds judged by the first heartbeat after the cut that one was not reached by
- * commands, and returned it while it had tasks. */
+/* The property test (test_network_partition_properties.cpp) found this fault: a controller was cut
+ * off from its machines for some seconds. At the first heartbeat after the cut the controller
+ * judged that commands did not reach one of the machines, and returned this machine to the cloud
+ * while the machine ran tasks. */
 static const sim_cut OWN_ISOLATION = {0, SIM_LINK_WORKERS, 5.0, 4.4};
 #define OWN_ISOLATION_SEED 474949
 
@@ -152,8 +157,9 @@
     sim_assert_rules_hold(&plan, OWN_ISOLATION_SEED, 8);
 }
 
-/* Found the same way: a machine that sent its heartbeats to an isolated controller came to its new
- * owner late, got work at once and was returned for not having booted. */
+/* The property test also found this fault: a machine sent its heartbeats to an isolated controller,
+ * so its new owner received the first heartbeat late. The machine got work at once and was returned
+ * to the cloud as never booted. */
 static const sim_cut LATE_HEARTBEAT[] = {{0, SIM_LINK_STATE, 16.7, 6.8},
                                          {0, SIM_LINK_WATCHES, 16.7, 14.0}};
 #define LATE_HEARTBEAT_SEED 179341
@@ -175,7 +181,8 @@
 
 /* --- each safety check is needed --- */
 
-/* With a check disabled, some seed of these must break the rule that the check stands for. */
+/* Asserts that with the check disabled at least one of the seeds 1 to 59 breaks the rule that the
+ * check guards. */
 static void assert_check_is_needed(mv_safety_check check, const sim_plan *plan, const char *rule)
 {
     sim_assert_rule_breaks(check, plan, rule, 1, 60);
