--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -155,7 +155,7 @@
 
 /* Calls every parser with the object. Each parser must return, and a job that the parser accepts
  * must be within the limits. */
-static void parse_as_everything(const msgpack_object *object)
+static void call_every_parser(const msgpack_object *object)
 {
     mv_job_spec job;
     mv_heartbeat heartbeat;
@@ -191,7 +191,7 @@
 }
 
 /* Every parser returns for random bytes and for a valid message with a few bytes changed. */
-static void random_bytes_are_survived(void)
+static void parsers_return_for_random_bytes(void)
 {
     GRand *random = g_rand_new_with_seed(RANDOM_SEED);
     g_autoptr(GBytes) sound = pack_submission(NULL, NULL);
@@ -213,7 +213,7 @@
         if (!document)
             continue;
         parsed++;
-        parse_as_everything(mv_document_root(document));
+        call_every_parser(mv_document_root(document));
     }
     g_rand_free(random);
     g_assert_cmpuint(parsed, >, 1000);
@@ -321,10 +321,11 @@
 
 /* The node record of this version has the fields that the old version reads, under the names that
  * the old version uses. */
-static void our_node_record_is_read_by_old_version(void)
+static void current_node_record_is_read_by_old_version(void)
 {
-    const mv_lease_holder ours = {.node = "n0", .incarnation = 9, .format = MV_FORMAT_CURRENT};
-    g_autoptr(GBytes) record = mv_lease_holder_pack(&ours);
+    const mv_lease_holder current_holder = {
+        .node = "n0", .incarnation = 9, .format = MV_FORMAT_CURRENT};
+    g_autoptr(GBytes) record = mv_lease_holder_pack(&current_holder);
     g_autoptr(mv_document) document = parse_document(record);
     const msgpack_object *root = mv_document_root(document);
     char name[MV_NAME_SIZE];
@@ -359,12 +360,12 @@
     g_test_add_func("/codec/malformed-submission", malformed_submission_is_refused);
     g_test_add_func("/codec/service-shape", service_keeps_its_shape);
     g_test_add_func("/codec/malformed-bytes", malformed_bytes_are_refused);
-    g_test_add_func("/codec/random-bytes", random_bytes_are_survived);
+    g_test_add_func("/codec/random-bytes", parsers_return_for_random_bytes);
     g_test_add_func("/codec/heartbeats", heartbeat_with_unknown_words_frees_nothing);
     g_test_add_func("/codec/old-node-record", old_node_record_is_read);
     g_test_add_func("/codec/old-partition-record", old_partition_record_is_read);
     g_test_add_func("/codec/omitted-fields", omitted_fields_read_as_they_were);
-    g_test_add_func("/codec/our-node-record", our_node_record_is_read_by_old_version);
+    g_test_add_func("/codec/our-node-record", current_node_record_is_read_by_old_version);
     g_test_add_func("/codec/job-ids", malformed_job_ids_are_refused);
     return g_test_run();
 }
--- a/tests/test_connectivity.c
+++ b/tests/test_connectivity.c
@@ -155,7 +155,7 @@
     fixture_clear(&fixture);
 }
 
-static void isolated_controller_steps_aside(void)
+static void isolation_is_reported_to_peers(void)
 {
     link_fixture fixture;
     fixture_init(&fixture, 3);
@@ -189,7 +189,7 @@
     fixture_clear(&fixture);
 }
 
-static void outage_when_nobody_is_answered(void)
+static void outage_when_no_controller_is_answered(void)
 {
     link_fixture fixture;
     fixture_init(&fixture, 3);
@@ -464,8 +464,8 @@
     mv_connectivity_free(fixture.controllers[1]);
     fixture.controllers[1] = mv_connectivity_new(&fixture.settings[1]);
     fixture.now += 1;
-    g_autoptr(mv_link_report) ours = publish(&fixture, 0);
-    receive(&fixture, 1, ours);
+    g_autoptr(mv_link_report) report_of_n0 = publish(&fixture, 0);
+    receive(&fixture, 1, report_of_n0);
     g_autoptr(mv_link_report) newer =
         mv_connectivity_publish(fixture.controllers[1], fixture.now, 77);
     g_assert_cmpint(receive(&fixture, 0, newer), ==, MV_LINK_REPORT_ACCEPTED);
@@ -550,9 +550,9 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/connectivity/class/unknown-at-first", unknown_until_state_service_answers);
     g_test_add_func("/connectivity/class/isolated", isolated_controller_launches_nothing);
-    g_test_add_func("/connectivity/class/steps-aside", isolated_controller_steps_aside);
+    g_test_add_func("/connectivity/class/steps-aside", isolation_is_reported_to_peers);
     g_test_add_func("/connectivity/class/healed", launches_resume_after_hold_down);
-    g_test_add_func("/connectivity/class/outage", outage_when_nobody_is_answered);
+    g_test_add_func("/connectivity/class/outage", outage_when_no_controller_is_answered);
     g_test_add_func("/connectivity/class/outage-ends", outage_that_ends_for_peers_is_isolation);
     g_test_add_func("/connectivity/class/minority", isolated_minority_is_no_outage);
     g_test_add_func("/connectivity/class/no-witness", operators_choose_class_without_witness);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -105,7 +105,7 @@
 }
 
 /* All controllers are down at the same time for 13 s, which is longer than the lease of 12 s. */
-static void all_controllers_away_longer_than_lease(void)
+static void all_controllers_down_longer_than_lease(void)
 {
     sim_plan plan = BASE;
     plan.all_crash = 40;
@@ -363,7 +363,7 @@
     g_test_add_func("/fault-combinations/slow-commands-hung-machines",
                     slow_commands_with_hung_machines);
     g_test_add_func("/fault-combinations/all-controllers-away",
-                    all_controllers_away_longer_than_lease);
+                    all_controllers_down_longer_than_lease);
     g_test_add_func("/fault-combinations/many-leaders", many_leaders_amid_outages);
     g_test_add_func("/fault-combinations/unreachable-at-leader-change",
                     unreachable_machines_at_leader_change);
--- a/tests/test_launch_gate.c
+++ b/tests/test_launch_gate.c
@@ -36,7 +36,8 @@
 static mv_link_report *report_of_peer(controller_fixture *fixture, const char *name,
                                       uint64_t sequence)
 {
-    g_autoptr(mv_link_report) ours = mv_controller_link_report(fixture->controller, fixture->now);
+    g_autoptr(mv_link_report) own_report =
+        mv_controller_link_report(fixture->controller, fixture->now);
     mv_link_report *report = mv_link_report_new();
     g_strlcpy(report->node, name, sizeof report->node);
     report->boot = 99;
@@ -44,7 +45,8 @@
     report->link_class = MV_LINKS_CONNECTED;
     report->state_age_s = report->cache_age_s = 0.1;
     report->workers_age_s = MV_NEVER;
-    mv_peer_link link = {.received_boot = ours->boot, .received_sequence = ours->sequence};
+    mv_peer_link link = {.received_boot = own_report->boot,
+                         .received_sequence = own_report->sequence};
     g_strlcpy(link.peer, "n0", sizeof link.peer);
     link.last_message_age_s = link.answered_request_age_s = 0;
     g_array_append_val(report->peers, link);
--- a/tests/test_network_partition_properties.cpp
+++ b/tests/test_network_partition_properties.cpp
@@ -243,7 +243,7 @@
 
 struct report_step {
     report_event event;
-    unsigned which; /* index of a report in transit, modulo the number of reports */
+    unsigned report_index; /* index of a report in transit, modulo the number of reports */
 };
 
 /* Maps a number from 0 to 9 to an event: three of the numbers publish a report to b, two publish a
@@ -297,10 +297,10 @@
     {
         if (mv_connectivity_receive(a, now, transit.report) != MV_LINK_REPORT_ACCEPTED)
             return;
-        const double taken_for = now - mv_connectivity_peer(a, now, 0).report_age_s;
-        RC_ASSERT(taken_for <= transit.published_at + 1e-9);
-        RC_ASSERT(taken_for >= newest_accepted - 1e-9);
-        newest_accepted = taken_for;
+        const double estimated_published_at = now - mv_connectivity_peer(a, now, 0).report_age_s;
+        RC_ASSERT(estimated_published_at <= transit.published_at + 1e-9);
+        RC_ASSERT(estimated_published_at >= newest_accepted - 1e-9);
+        newest_accepted = estimated_published_at;
     }
 
     void apply_step(const report_step &step)
@@ -315,11 +315,11 @@
             break;
         case report_event::ARRIVES_AT_B:
             if (!to_b.empty())
-                mv_connectivity_receive(b, now, to_b[step.which % to_b.size()].report);
+                mv_connectivity_receive(b, now, to_b[step.report_index % to_b.size()].report);
             break;
         case report_event::ARRIVES_AT_A:
             if (!to_a.empty())
-                deliver_to_a(to_a[step.which % to_a.size()]);
+                deliver_to_a(to_a[step.report_index % to_a.size()]);
             break;
         case report_event::B_RESTARTS:
             restart_b();
@@ -334,7 +334,7 @@
     const auto event = rc::gen::map(rc::gen::inRange(0, 10), report_event_of);
     const auto steps = *rc::gen::container<std::vector<report_step>>(rc::gen::build<report_step>(
         rc::gen::set(&report_step::event, event),
-        rc::gen::set(&report_step::which, rc::gen::inRange(0u, 1000u))));
+        rc::gen::set(&report_step::report_index, rc::gen::inRange(0u, 1000u))));
     two_controllers controllers;
     for (const report_step &step : steps)
         controllers.apply_step(step);
