--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -1,10 +1,10 @@
 /**
- * Overload: what one controller does with more work than its processor, its queue of transactions
- * or a single shard can carry. Seen in trials with 4,000 machines; work is bounded by counting, not
- * by time.
+ * Overload: one controller gets more work than its processor, its queue of transactions or a single
+ * shard can carry. The failures occurred in trials with 4,000 machines. The tests count messages
+ * and records, not time, so a slow test machine does not change their result.
  *
  * Rules of the protocol page: "Limits and errors" of the state service, a transaction without a
- * response "may yet be executed later", and the machine list of the cloud, which lags.
+ * response "may yet be executed later", and the cloud's machine list lags behind the fleet.
  */
 #include "controller_helpers.h"
 
@@ -21,7 +21,8 @@
     *(unsigned *)count += count_launches(action, NULL);
 }
 
-/* Time passes until a controller that keeps up again has its whole window of commands back. */
+/* Checks that the command window is back at its maximum after the time that its additive increase
+ * needs, once the controller's ticks are on time again. */
 static void assert_command_window_recovers(controller_fixture *fixture)
 {
     const double recovery_s =
@@ -31,14 +32,15 @@
     g_assert_cmpfloat(inspect_command_window(fixture->controller), ==, MV_COMMANDS_IN_FLIGHT_MAX);
 }
 
-/* A controller whose own ticks come late, with tasks for every machine: how many commands it has in
- * flight while none is answered. All other tasks start by the responses to heartbeats. */
+/* Returns the number of commands that a controller with late ticks has in flight while no agent
+ * answers a command. The controller has tasks for every machine; tasks that no command launches are
+ * launched by the responses to heartbeats. */
 static unsigned commands_in_flight_when_late(void)
 {
     controller_fixture fixture = {
         .machines = 400, .report_s = 5, .tick_s = 2 * MV_TICK_OVERLOADED_S};
     fixture_own_fleet(&fixture);
-    fixture_advance(&fixture, 10); /* first probes are answered, and the window is adapted */
+    fixture_advance(&fixture, 10); /* the agents answer the first probes, and the window shrinks */
     fixture.held_commands = g_queue_new();
 
     for (unsigned i = 0; i < JOBS; i++)
@@ -72,7 +74,7 @@
     return count;
 }
 
-/* Every transaction that the fixture holds back gets an unknown result at last. */
+/* Reports the result "unknown" to the controller for every transaction that the fixture holds. */
 static void answer_held_transactions(controller_fixture *fixture)
 {
     mv_action *action;
@@ -83,8 +85,9 @@
     }
 }
 
-/* A job is done while transactions wait in the controller's own queue for half a minute: how often
- * its final record, or the controller's own node record, was put there. */
+/* A job finishes while transactions wait in the controller's queue for half a minute. Returns how
+ * often the controller queued a write of the job's final record or of its own node record,
+ * whichever is more. */
 static unsigned transactions_made_while_queued(void)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1, .run_s = 2};
@@ -93,7 +96,7 @@
     fixture_advance(&fixture, 0.5);
     fixture.held_transactions = g_queue_new();
 
-    fixture_put_record(&fixture, NODE_KEY, NULL); /* its session had expired */
+    fixture_put_record(&fixture, NODE_KEY, NULL); /* as after the controller's session expired */
     fixture_advance(&fixture, 30);
 
     g_assert_cmpuint(fixture.launches, ==, TASKS);
@@ -101,7 +104,8 @@
     const unsigned node_records = count_queued_writes(fixture.held_transactions, NODE_KEY);
     g_assert_cmpuint(final_records, >=, 1);
     g_assert_cmpuint(node_records, >=, 1);
-    /* Once answered, each is made anew if the state cache does not show it. */
+    /* After the result "unknown", the controller queues a write again if the state cache does not
+     * show its record. */
     answer_held_transactions(&fixture);
     fixture_advance(&fixture, 1);
     g_assert_cmpuint(count_queued_writes(fixture.held_transactions, FINAL_KEY), ==, 1);
@@ -119,9 +123,9 @@
 
 /* --- the first shards --- */
 
-/* What the controller asked for, and which shards it made. */
+/* The first leader's open request for the machine list, and the number of shards it created. */
 typedef struct {
-    uint64_t list_id; /* of a request for the machine list that has no answer yet; 0: none */
+    uint64_t list_id; /* of the unanswered request for the machine list; 0: none */
     unsigned shards_made;
 } first_decisions;
 
@@ -135,7 +139,7 @@
     decisions->shards_made += count_writes_below(action, KEY_SHARD_PREFIX);
 }
 
-/* The cloud lists so many machines, each a second old. */
+/* The cloud answers the request `id` with a list of `machines` machines, each one second old. */
 static void answer_machine_list(controller_fixture *fixture, uint64_t id, unsigned machines)
 {
     g_autoptr(GArray) list = g_array_new(FALSE, TRUE, sizeof(mv_listed_machine));
@@ -147,7 +151,9 @@
     mv_controller_machines_listed(fixture->controller, fixture->now, id, list, false);
 }
 
-/* The controller is the first leader of all, and no guarantee says how large the fleet is. */
+/* Makes the controller the leader of term 1 in a new deployment. The operators' settings set no
+ * number of shards, and no team has guaranteed cores that show the size of the fleet, so the leader
+ * derives the number of shards from the cloud's machine list. */
 static void become_first_leader(controller_fixture *fixture)
 {
     mv_lease_holder leader = {.node = "n0", .incarnation = 7, .term = 1};
@@ -159,8 +165,8 @@
     finish_loading(fixture);
 }
 
-/* How many shards the first leader makes within so many seconds. The cloud lists `machines` after
- * one second; 0: it never answers. */
+/* Returns the number of shards that the first leader creates within `seconds`. The cloud answers
+ * after one second with a list of `machines` machines; 0: the cloud never answers. */
 static unsigned shards_made_within(unsigned machines, double seconds)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1, .now = 100};
--- a/tests/test_peer_codec.c
+++ b/tests/test_peer_codec.c
@@ -1,9 +1,10 @@
 /**
- * Codec of the messages between controllers: demands and link reports keep their meaning, those of
- * the version before are read, what is malformed is refused, and the largest fits into a frame.
+ * Codec of the messages between controllers: demands and link reports keep their meaning when they
+ * are packed and unpacked, messages of the previous version are read, malformed messages are
+ * refused, and the largest message fits into a frame.
  *
- * The protocol page leaves to the service what controllers exchange; versions read one another
- * during a rolling upgrade.
+ * The protocol page does not define the messages between controllers. During a rolling upgrade,
+ * controllers of both versions read each other's messages.
  */
 #include "server/link_report_codec.h"
 #include "server/peer_codec.h"
@@ -20,7 +21,7 @@
     return demand;
 }
 
-/* The demand in a message between controllers, which must carry one. */
+/* Returns the demand in a message between controllers; fails the test if the message has none. */
 static mv_shard_demand *unpack_demand(const uint8_t *bytes, gsize size)
 {
     Mv__PeerRequest *message = mv__peer_request__unpack(NULL, size, bytes);
@@ -49,7 +50,7 @@
     return packed;
 }
 
-/* A demand as a peer reads it. */
+/* A peer reads a packed demand with the values that the sender set. */
 static void demand_is_read_by_peer(void)
 {
     g_autoptr(GBytes) packed = pack_demand_with_reserve();
@@ -68,7 +69,8 @@
     mv_shard_demand_free(demand);
 }
 
-/* Field 1 of a machine summary alone, as the old version may send it, says none of what is new. */
+/* The previous version may send a machine summary with field 1 (the machine's name) only. The
+ * fields that the previous version lacks are then read as zero or false. */
 static void old_demand_is_read(void)
 {
     static const uint8_t bytes[] = {0x0a, 0x0b, 0x0a, 0x02, 'n', '1', 0x2a,
@@ -80,7 +82,7 @@
     mv_shard_demand_free(demand);
 }
 
-/* The caller owns it. */
+/* Returns the link report of an isolated controller; the caller owns it. */
 static mv_link_report *link_report_of_isolated(void)
 {
     mv_link_report *report = mv_link_report_new();
@@ -100,7 +102,8 @@
     return report;
 }
 
-/* The message with this report, which must carry one. The caller frees it. */
+/* Packs the report into a message and returns the unpacked message, which the caller frees; fails
+ * the test if the message carries no link report. */
 static Mv__PeerRequest *unpack_link_report_message(const mv_link_report *report)
 {
     g_autoptr(GBytes) packed = mv_link_report_pack(report);
@@ -124,8 +127,8 @@
     g_assert_true(g_bytes_equal(read_set->tasks, sent_set->tasks));
 }
 
-/* A link report as a peer reads it; one whose names are too long, or of a class that is none, is
- * refused. */
+/* A peer reads a link report with the values that the sender set. The peer refuses a link report
+ * with an unknown link class or with a node name that is too long. */
 static void link_report_is_read_by_peer(void)
 {
     g_autoptr(mv_link_report) sent = link_report_of_isolated();
@@ -152,9 +155,8 @@
 
 #define LARGEST_FLEET 4000
 
-/* One shard may hold the whole fleet; its owner describes each machine to the leader in one
- * message.
- */
+/* If one shard holds the whole fleet, the shard's owner describes every machine to the leader in
+ * one message, which must fit into a frame. */
 static void demand_of_largest_fleet_fits_into_frame(void)
 {
     mv_shard_demand *demand = demand_new(1 << 20);
--- a/tests/test_preemption.c
+++ b/tests/test_preemption.c
@@ -1,9 +1,9 @@
 /**
- * Preemption: which tasks give way to a latency-sensitive job, and whether they get the time to
- * save a checkpoint first.
+ * Preemption: which tasks the controller stops for a latency-sensitive job, and whether these tasks
+ * get the time to save a checkpoint first.
  *
- * Rules of the protocol page: a task that is stopped ends within the grace period that the stop
- * names, and work since its last checkpoint is lost; a team never has more than its quota.
+ * Rules of the protocol page: a stopped task ends within the grace period that the stop names, and
+ * the task's work since its last checkpoint is lost; a team never has more than its quota.
  */
 #include "controller_helpers.h"
 
@@ -15,8 +15,8 @@
 #define IDLE_JOB_TASKS 8
 #define TASK_CORES 8
 
-/* A batch job of idle priority that fills a machine of 64 cores and saves a checkpoint at this
- * interval; 0: never. */
+/* Adds a batch job of idle priority that fills a machine of 64 cores. Its tasks save a checkpoint
+ * every `checkpoint_interval_s` seconds; 0: never. */
 static void add_idle_job(controller_fixture *fixture, double checkpoint_interval_s)
 {
     mv_job_spec spec = {.priority = MV_PRIORITY_IDLE,
@@ -30,7 +30,7 @@
     fixture_put_job(fixture, spec, IDLE_JOB, "refit", "img-1");
 }
 
-/* Jobs of the class "rush" are to start within so many seconds. */
+/* Sets the start objective of the job class "rush" to `within_s` seconds. */
 static void set_start_objective(controller_fixture *fixture, double within_s)
 {
     mv_objective *objective = g_new0(mv_objective, 1);
@@ -41,7 +41,8 @@
     fixture->settings->objective_count = 1;
 }
 
-/* The controller owns its only machine, which has reported. */
+/* Grants the controller the shard with the only machine and waits for the machine's first
+ * heartbeats. */
 static void load_fleet(controller_fixture *fixture)
 {
     fixture_grant_shard(fixture, 5);
@@ -50,8 +51,9 @@
     fixture_advance(fixture, 3);
 }
 
-/* A latency-sensitive job whose class has this start objective arrives when the tasks on the only
- * machine have run for so long. Returns the grace period of the tasks that gave way to it. */
+/* A latency-sensitive job whose class has the start objective `start_objective_s` arrives when the
+ * tasks on the only machine have run for `ran_s` seconds. Returns the grace period in seconds of
+ * the tasks that the controller stops for the job. */
 static double grace_period_of_preempted(double start_objective_s, double ran_s)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1};
@@ -72,9 +74,11 @@
     return grace_period_s;
 }
 
-/* Five seconds for a checkpoint make no room within a start objective of five; within one of
- * fifteen they do, and cost less than the eight seconds of work that are not saved yet. What was
- * saved a moment before is stopped at once all the same. */
+/* A checkpoint takes 5 s. With a start objective of 5 s, the machine would be free too late, so the
+ * tasks are stopped at once. With an objective of 15 s, the checkpoint ends in time and costs less
+ * than the 8 s of work not saved yet, so the tasks save first. If the last checkpoint was saved
+ * just before, saving again costs more than the unsaved work, so the tasks are stopped at once even
+ * with an objective of 15 s. */
 static void preempted_tasks_save_only_within_start_objective(void)
 {
     g_assert_cmpfloat(grace_period_of_preempted(5, 10), ==, 0);
@@ -82,8 +86,8 @@
     g_assert_cmpfloat(grace_period_of_preempted(15, CHECKPOINT_INTERVAL_S + 3), ==, 0);
 }
 
-/* How many cores of its team's quota of 40 an idle job is allocated, where latency-sensitive jobs
- * usually ask for more than the headroom. */
+/* Returns how many cores of its team's quota of 40 an idle job is allocated if latency-sensitive
+ * jobs usually request more cores than the headroom has. */
 static double cores_allocated_to_idle_job(double checkpoint_interval_s)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1};
@@ -100,8 +104,9 @@
     return allocated;
 }
 
-/* Headroom of a quota is kept for latency-sensitive work only where nothing gives way to it
- * cheaply. */
+/* Headroom of a quota is kept free for latency-sensitive jobs if the running tasks save no
+ * checkpoints, because preempting them loses all of their work. If they do save checkpoints,
+ * preemption is cheap, and the idle job may use the headroom. */
 static void headroom_is_used_by_preemptible_tasks(void)
 {
     g_assert_cmpfloat(cores_allocated_to_idle_job(0), ==, 32);
--- a/tests/test_state_cache.c
+++ b/tests/test_state_cache.c
@@ -1,9 +1,10 @@
 /**
- * The state cache: what the controller makes of the records that it reads. Formats of other
- * versions, records that come twice or late, and a list of all records in pages of different times.
+ * The state cache: how the controller applies the records that it reads from the state service. The
+ * records may have the format of another version, may arrive twice or late, and a list of all
+ * records consists of pages that were read at different times.
  *
- * Rules of the protocol page: a list is ordered by key and read in pages, a watch tells what
- * changed since a revision; "fields that a receiver does not know must be ignored"; `went_back`.
+ * Rules of the protocol page: a list is ordered by key and read in pages; a watch reports the
+ * changes since a revision; "fields that a receiver does not know must be ignored"; `went_back`.
  */
 #include "controller_helpers.h"
 
@@ -30,7 +31,7 @@
     g_assert_cmpint(mv_controller_all_formats_current(fixture->controller), ==, current);
 }
 
-/* A job record whose shape no controller of today knows. */
+/* Puts a job record of a later version, whose shape this version does not know. */
 static void put_future_job(controller_fixture *fixture)
 {
     mv_writer *writer = mv_writer_new();
@@ -48,27 +49,28 @@
     g_assert_cmpuint(count_writes(action, FUTURE_JOB_KEY), ==, 0);
 }
 
-/* Services wait until every controller was seen to read them; one that is away counts as old unless
- * it said otherwise before; one that was put back to the old version closes the gate again. A job
- * of a format to come is left alone. */
+/* Services are accepted only if every controller runs a version that can read them. A controller
+ * without a node record counts as old unless its format record says otherwise. A controller that
+ * was downgraded makes the others reject services again. A controller never writes the record of a
+ * job whose format it does not know. */
 static void services_wait_for_every_format(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
     start_controller(&fixture);
     put_node_record(&fixture, "n0", FORMAT_WITH_SERVICES);
     put_node_record(&fixture, "n1", FORMAT_WITH_SERVICES);
-    assert_formats_current(&fixture, false); /* the third is away and unknown */
+    assert_formats_current(&fixture, false); /* n2 has no record yet */
     put_node_record(&fixture, "n2", FORMAT_OLD);
     assert_formats_current(&fixture, false);
     put_node_record(&fixture, "n2", FORMAT_WITH_SERVICES);
     assert_formats_current(&fixture, true);
     fixture_put_record(&fixture, KEY_FORMAT_PREFIX "n2", mv_format_pack(FORMAT_WITH_SERVICES));
     fixture_put_record(&fixture, KEY_NODE_PREFIX "n2", NULL);
-    assert_formats_current(&fixture, true); /* it comes back as what it was */
+    assert_formats_current(&fixture, true); /* n2's format record still counts */
     put_node_record(&fixture, "n2", FORMAT_OLD);
-    assert_formats_current(&fixture, false); /* put back */
+    assert_formats_current(&fixture, false); /* n2 was downgraded */
     put_node_record(&fixture, "n2", FORMAT_LATER);
-    assert_formats_current(&fixture, true); /* a later one reads ours */
+    assert_formats_current(&fixture, true); /* later versions read this format */
 
     put_future_job(&fixture);
     finish_loading(&fixture);
@@ -82,7 +84,7 @@
 #define SPLIT_SEGMENT 9
 #define SPLIT_MACHINES 4
 
-/* Tasks run on every machine of a segment. */
+/* Starts the tasks of a job on the machines of a segment that the controller owns. */
 static void run_tasks_in_segment(controller_fixture *fixture)
 {
     unsigned running = 0;
@@ -94,7 +96,7 @@
     for (unsigned i = 0; i < SPLIT_MACHINES; i++) {
         char id[MV_NAME_SIZE];
         fixture_machine_id(i, id, sizeof id);
-        set_occupied(fixture->controller, id); /* as its owner records it */
+        set_occupied(fixture->controller, id); /* as the shard's owner records it */
     }
     fixture_add_batch_job(fixture, 1, 2);
     fixture_advance(fixture, 3);
@@ -103,8 +105,8 @@
     g_assert_cmpuint(running, ==, TASKS);
 }
 
-/* All records are listed anew: a later page shows the segment with half of its machines, and a
- * newer record comes in a page later still. Returns the revision of the split. */
+/* The controller lists all records again. One page shows the segment with half of its machines,
+ * and a later page has a newer record. Returns the revision of the split. */
 static uint64_t list_amid_split(controller_fixture *fixture)
 {
     mv_controller_relist_started(fixture->controller, fixture->now);
@@ -116,9 +118,9 @@
     return split;
 }
 
-/* A segment names four machines, of which the list of all records shows two: it was split after the
- * page in which the new segment would have been. How many tasks of machines that seemed to have
- * gone were queued again. */
+/* A segment holds four machines, but the list of all records shows only two: the segment was split
+ * after the page that would hold the new segment had been read. Returns how many tasks of the two
+ * missing machines the controller queued again. */
 static unsigned tasks_requeued_by_list(void)
 {
     controller_fixture fixture = {.machines = SPLIT_MACHINES, .report_s = 1};
@@ -127,7 +129,7 @@
     const uint64_t split = list_amid_split(&fixture);
     const mv_controller_counters counters = read_counters(&fixture);
 
-    /* What was written along with it is watched only now. */
+    /* The new segment, written in the transaction of the split, arrives by the watch only now. */
     fixture.now += 0.2;
     const uint64_t newest = fixture.revision;
     fixture.revision = split - 1;
@@ -146,8 +148,9 @@
     g_assert_cmpuint(measure_without(MV_CHECK_RELIST, tasks_requeued_by_list), >, 0);
 }
 
-/* A machine is offered under the revision of its occupancy record; a list brings that record again.
- * Whether the machine may be given work while the leader may still move it, 1 or 0. */
+/* The shard's owner offers a machine for transfer at the revision of its occupancy record, and a
+ * list then shows that record again. Returns 1 if the controller may place tasks on the machine
+ * although the leader may still move it, otherwise 0. */
 static unsigned schedulable_after_repeated_record(void)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1};
@@ -175,18 +178,17 @@
                      ==, 1);
 }
 
-/* Records never go back: pages of one list are of different times, and changes are watched from the
+/* The state cache ignores a record that is older than the one it holds. Older records arrive
+ * because the pages of a list are read at different times while the watch reports changes from the
  * first page on. */
 static void records_never_go_back(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
     start_controller(&fixture);
     fixture.revision = 50;
-    fixture_put_shard(&fixture, KEY_SHARD_PREFIX "0", "n0", 7,
-                      9); /* revision 51, as the list showed */
+    fixture_put_shard(&fixture, KEY_SHARD_PREFIX "0", "n0", 7, 9); /* revision 51, from the list */
     fixture.revision = 30;
-    fixture_put_shard(&fixture, KEY_SHARD_PREFIX "0", "n1", 8,
-                      8); /* revision 31, as it was before */
+    fixture_put_shard(&fixture, KEY_SHARD_PREFIX "0", "n1", 8, 8); /* revision 31, older */
     g_assert_cmpstr(fixture_shard_owner(&fixture, 0), ==, "n0");
     mv_controller_record_changed(fixture.controller, fixture.now, KEY_SHARD_PREFIX "0", NULL, 40);
     g_assert_cmpstr(fixture_shard_owner(&fixture, 0), ==, "n0");
@@ -194,8 +196,8 @@
     fixture.revision = 60;
     fixture_put_shard(&fixture, KEY_SHARD_PREFIX "0", "n1", 8, 10);
     g_assert_cmpstr(fixture_shard_owner(&fixture, 0), ==, "n1");
-    /* How recent the cache is counts from before the watch was sent, and does not go back either.
-     */
+    /* The cache is as recent as the time before the watch request was sent, and that time never
+     * decreases. */
     mv_controller_watch_caught_up(fixture.controller, fixture.now + 3, fixture.now + 2);
     mv_controller_watch_caught_up(fixture.controller, fixture.now + 4, fixture.now + 1);
     g_assert_cmpfloat(mv_controller_caught_up_to(fixture.controller), ==, fixture.now + 2);
