--- a/tests/test_partition_size.c
+++ b/tests/test_partition_size.c
@@ -1,11 +1,13 @@
 /**
- * One controller at full size and over time: it takes over a fleet of 1,850 and of 4,000 machines
- * with thousands of tasks, starts a large job amid small ones, and keeps a late launch from
- * starting a task a second time. Work is bounded by counting, not by time.
+ * One controller with a partition of full size: the controller takes over fleets of 1,850 and 4,000
+ * machines with thousands of tasks, starts a large job while small jobs keep arriving, and prevents
+ * a late launch command from starting a task a second time. The tests count the work, not the time,
+ * so a slow test machine does not change their result.
  *
- * Rules of the protocol page: `ran_twice` and `ran_cancelled`; "Delayed messages" - a command that
- * got no response may be executed minutes later -; after `clear` an agent no longer knows the
- * attempt, so a repeated launch starts it once more; the lease, which only a response renews.
+ * Rules of the protocol page: `ran_twice` and `ran_cancelled`; "Delayed messages" - a command
+ * without a response may be executed minutes later -; after `clear` an agent no longer knows the
+ * attempt, so a repeated launch starts the attempt again; only a response to a heartbeat renews the
+ * agent's lease.
  */
 #include "controller_helpers.h"
 #include "reference_scheduler.h"
@@ -17,7 +19,7 @@
 #define USUAL_FLEET 1850
 #define EXAMINED_PER_TASK_MAX 60 /* machines, in a fleet of the usual size */
 
-/* Jobs of small tasks and of large ones, which fill the fleet together. */
+/* Adds jobs with small tasks and jobs with large tasks, which together fill the fleet. */
 static void add_jobs_of_fleet(controller_fixture *fixture)
 {
     for (unsigned i = 0; i < JOBS; i++)
@@ -35,8 +37,8 @@
     g_assert_cmpuint(fixture->launches, ==, JOBS * TASKS);
 }
 
-/* Each scheduling round examines machines for all tasks at once; one by one it would be all
- * machines for each task. */
+/* Checks that each scheduling round examines the machines for all tasks together. If the scheduler
+ * placed the tasks one by one, it would examine all machines for each task. */
 static void assert_machines_examined(const controller_fixture *fixture, unsigned per_task_max)
 {
     const mv_controller_counters counters = read_counters(fixture);
@@ -46,13 +48,15 @@
     g_assert_cmpuint(reference_mismatches(), ==, 0);
 }
 
-/* The owner ends; another process of the same name takes over under a new term. */
+/* The shard's owner stops, and a new process with the same node name takes over under a new term.
+ */
 static void fail_over(controller_fixture *fixture)
 {
     mv_controller_free(fixture->controller);
     mv_settings_free(fixture->settings);
     fixture_start(fixture);
-    fixture_put_partition(fixture); /* older than the grant, as in a list of the records */
+    fixture_put_partition(
+        fixture); /* the partition's revision is below the grant's, as in a list of all records */
     add_jobs_of_fleet(fixture);
     fixture_grant_shard(fixture, 6);
     finish_loading(fixture);
@@ -79,7 +83,8 @@
     assert_failover_starts_nothing_twice(USUAL_FLEET, EXAMINED_PER_TASK_MAX);
 }
 
-/* The largest fleet in use; the machines examined for each task grow no faster than the fleet. */
+/* In the largest fleet in use, the number of machines examined per task grows no faster than the
+ * fleet. */
 static void failover_with_largest_fleet(void)
 {
     assert_failover_starts_nothing_twice(MACHINES, EXAMINED_PER_TASK_MAX * MACHINES / USUAL_FLEET);
@@ -90,9 +95,9 @@
 #define LARGE_JOB 900000
 #define LARGE_JOB_WAIT_MAX_S 240
 
-/* Small jobs are always pending, more than the fleet can run. Seconds until the first task of a
- * large job, which needs a whole machine of the usual type, starts all the same; 0: never within
- * 400 s. */
+/* More small jobs are always pending than the fleet can run. Returns the seconds until the first
+ * task of a large job starts, which needs a whole machine of the usual type; 0: the task does not
+ * start within 400 s. */
 static double wait_of_large_job_s(void)
 {
     controller_fixture fixture = {
@@ -137,8 +142,8 @@
 #define FIRST_JOB "j-000001"
 #define SECOND_JOB "j-000002"
 
-/* One machine, and the command with the launch of the first job's tasks, still in flight. The
- * caller owns it. */
+/* Returns the command that launches the first job's tasks on the only machine and that is still in
+ * flight; the caller owns the command. */
 static mv_action *hold_first_launch(controller_fixture *fixture)
 {
     fixture_own_fleet(fixture);
@@ -151,7 +156,8 @@
     return command;
 }
 
-/* The agent answers a command with its present status; the caller has executed it or not. */
+/* The agent answers a command with `status`. The caller decides whether the agent has executed the
+ * command. */
 static void answer_command(controller_fixture *fixture, const mv_action *command,
                            const mv_heartbeat *status)
 {
@@ -159,13 +165,13 @@
     fixture_run_actions(fixture);
 }
 
-/* The launch of the second job goes with the response to a heartbeat, and a copy of it in the
- * command that this returns, which stays in flight. The caller owns it. */
+/* The controller launches the second job in the response to a heartbeat and sends the same launch
+ * again in a command that stays in flight. Returns that command; the caller owns it. */
 static mv_action *launch_second_job_twice(controller_fixture *fixture)
 {
     mv_heartbeat status;
     mv_action *first = hold_first_launch(fixture);
-    /* The agent executes the command, and its next heartbeat overtakes the answer. */
+    /* The agent executes the command, and the agent's next heartbeat overtakes the answer. */
     fixture_execute_commands(fixture, 0, first->commands);
     fixture_heartbeat(fixture, 0, &status);
     fixture_add_batch_job(fixture, 2, 0.1);
@@ -178,7 +184,7 @@
     return copy;
 }
 
-/* All tasks of the job on the only machine exit with an error. */
+/* Makes all tasks of the job on the only machine exit with an error. */
 static void fail_tasks_of(controller_fixture *fixture, const char *job_id)
 {
     for (guint i = 0; i < fixture->tasks[0]->len; i++) {
@@ -190,16 +196,17 @@
     }
 }
 
-/* A launch goes with the response to a heartbeat, and a copy of it in a command that is long in
- * flight. Its task starts, fails and is placed anew; were its attempt cleared before the command is
- * answered, the copy would start it once more. Whether the attempt was cleared too early, 1 or 0.
- */
+/* The controller launches a task in the response to a heartbeat, and a copy of the launch is in
+ * flight in a command for a long time. The task starts, fails and is placed again. If the
+ * controller cleared the failed attempt before the command is answered, the copy would start the
+ * attempt again. Returns 1 if the controller cleared the attempt before the answer, otherwise 0. */
 static unsigned attempts_cleared_early(void)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1};
     mv_heartbeat status;
     mv_action *copy = launch_second_job_twice(&fixture);
-    fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR, SECOND_JOB); /* shows them running */
+    fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR,
+                           SECOND_JOB); /* reports the tasks as running */
 
     fail_tasks_of(&fixture, SECOND_JOB);
     const bool cleared_early = fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR, SECOND_JOB) > 0;
@@ -221,7 +228,7 @@
     g_assert_cmpuint(measure_without(MV_CHECK_IN_FLIGHT, attempts_cleared_early), ==, 1);
 }
 
-/* The leader has given the only machine a higher term. */
+/* Puts a partition record in which the leader has raised the only machine's term. */
 static void fence_machine(controller_fixture *fixture)
 {
     mv_partition_member member = {
@@ -232,7 +239,8 @@
     fixture_put_record(fixture, KEY_PARTITION_PREFIX "0/0", mv_partition_pack(members));
 }
 
-/* A heartbeat of the only machine, which executes no command; whether it got a 200. */
+/* Sends a heartbeat of the only machine, which executes no command. Returns whether the controller
+ * answered with status 200. */
 static bool heartbeat_is_answered(controller_fixture *fixture)
 {
     mv_heartbeat heartbeat;
@@ -251,17 +259,18 @@
 
 #define FENCED_AFTER_S 30
 
-/* A launch is held back in flight while the machine's heartbeats go on; its job is cancelled. Were
- * those answered, the lease would hold, and the launch could arrive after any time. How often they
- * were, from the grace period after the cancellation on and before the machine was fenced; under a
- * higher token they are answered again. */
+/* A job is cancelled while a launch of its tasks is still in flight and the machine keeps sending
+ * heartbeats. If the controller answered the heartbeats, the agent's lease would hold, and the
+ * launch could start a task at any later time. Returns how many heartbeats the controller answered
+ * after the grace period that follows the cancellation and before the machine was fenced. Under the
+ * higher fencing token, the controller has to answer heartbeats again. */
 static unsigned heartbeats_answered_before_fencing(void)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1};
     unsigned answered_count = 0;
     mv_action *launch = hold_first_launch(&fixture);
     mv_controller_command_completed(fixture.controller, fixture.now, launch->id, 0,
-                                    NULL); /* no answer: it may yet arrive */
+                                    NULL); /* no answer: the agent may still receive the command */
     fixture_put_record(&fixture, KEY_JOB_PREFIX FIRST_JOB, NULL);
 
     for (int second = 0; second < FENCED_AFTER_S + 10; second++) {
@@ -288,8 +297,9 @@
 
 /* --- outages and quiet times --- */
 
-/* The state store is out for longer than the shard's lease, and the controller is late with it: no
- * session, no state watch and no tick, then ticks until its own lateness is over too. */
+/* The state store is down for longer than the shard's lease, and the controller stands still too:
+ * it has no session, no state watch and no tick. Afterwards the controller ticks until its own
+ * ticks no longer count as late. */
 static void pass_outage(controller_fixture *fixture)
 {
     fixture->now += 80;
@@ -299,8 +309,9 @@
     fixture_advance_idle(fixture, MV_TICK_S);
 }
 
-/* The state store is out and back: how many machines with tasks count as failed for the time in
- * which their heartbeats were rejected, summed over the ticks of the next second. */
+/* The state store fails and recovers. Returns how many machines with tasks the controller counts as
+ * failed because their heartbeats were rejected in the meantime, summed over the ticks of the next
+ * second. */
 static unsigned machines_failed_after_outage(void)
 {
     controller_fixture fixture = {.machines = 60, .report_s = 5};
@@ -328,7 +339,8 @@
     g_assert_cmpuint(measure_without(MV_CHECK_LISTENING, machines_failed_after_outage), >, 0);
 }
 
-/* The only machine takes nothing for a while, and then nothing else happens. */
+/* Launches on the only machine are paused, and no other event triggers a scheduling round. The
+ * controller has to start a round when the pause ends. */
 static void round_follows_when_launch_pause_ends(void)
 {
     controller_fixture fixture = {.machines = 1, .report_s = 1};
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,10 +1,11 @@
 /**
- * Stored records: what the controller writes. Partitions in segments, machines that move,
- * completion records, job records within the limits of the state store.
+ * Records that the controller writes to the state store: segments of partitions, moves of machines
+ * between shards, completion records and job records. All of them must stay within the state
+ * store's limits.
  *
- * Rules of the protocol page: transactions are atomic and conditional on revisions; `txn_ops`
- * writes and four times as many conditions, `value_kb` KiB per value; a list is ordered by key;
- * `not_done`.
+ * Rules of the protocol page: transactions are atomic and conditional on revisions; a transaction
+ * has at most `txn_ops` writes and four times as many conditions; a value has at most `value_kb`
+ * KiB; a list is ordered by key; `not_done`.
  */
 #include "controller_helpers.h"
 
@@ -14,12 +15,13 @@
 
 /* --- machines that move --- */
 
-/* Revisions of what a move of the machine depends on. */
+/* Revisions of the records on which a move of the machine depends. */
 typedef struct {
     uint64_t grant, partition, occupancy;
 } move_revisions;
 
-/* The controller leads; the shard of n1 has one machine, and a job waits for machines. */
+/* Makes the controller the leader. The shard of controller n1 has one machine, and a job waits for
+ * machines. Returns the revisions of the records of that shard. */
 static move_revisions lead_with_machine_of_peer(controller_fixture *fixture)
 {
     move_revisions revisions;
@@ -48,7 +50,7 @@
     unsigned moves;
 } move_observation;
 
-/* A transaction that moves the machine has every revision as its precondition. */
+/* Checks that each transaction that moves the machine has all three revisions as preconditions. */
 static void observe_move(controller_fixture *fixture, const mv_action *action, gpointer data)
 {
     move_observation *observed = data;
@@ -66,7 +68,7 @@
                      expected->grant);
 }
 
-/* For two seconds n1 offers the machine in demands under a grant of this term. */
+/* For two seconds, n1 offers the machine for transfer in demands under the grant of term `term`. */
 static void offer_machine(controller_fixture *fixture, uint64_t term, move_observation *observed)
 {
     for (int i = 0; i < 20; i++) {
@@ -78,10 +80,9 @@
     }
 }
 
-/* A machine moves only while its occupancy record, the grant of the shard it leaves and both
- * partitions are what they were when it was offered; a demand under an earlier grant offers
- * nothing.
- */
+/* The leader moves a machine only if the machine's occupancy record, the grant of the shard that
+ * the machine leaves and both partitions have not changed since the machine was offered. The leader
+ * ignores an offer in a demand under an earlier grant. */
 static void machine_moves_under_preconditions(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
@@ -98,7 +99,7 @@
 /* --- segments of a partition --- */
 
 #define FENCED_SEGMENTS 6
-#define LARGE_SEGMENT 6 /* too large to be written again */
+#define LARGE_SEGMENT 6 /* index of the segment that is too large to be written again */
 #define LARGE_FIRST 100 /* the number of its first machine */
 #define LARGE_MEMBERS 40
 #define WRITES_MAX 8
@@ -110,8 +111,8 @@
     set_owner_summary(fixture->controller, id, fixture->now, true);
 }
 
-/* The first machine of the large segment is to leave it, and all may hold tasks, so that their
- * occupancy moves along with a slice. */
+/* Releases the first machine of the large segment. All machines of the segment may hold tasks, so
+ * their occupancy records move together with a slice of the segment. */
 static void release_machine_of_large_segment(controller_fixture *fixture)
 {
     char id[MV_NAME_SIZE];
@@ -124,7 +125,8 @@
     set_released(fixture->controller, id);
 }
 
-/* The leader, who owns shard 0, has read six small segments and a large one. */
+/* Makes the controller the leader and the owner of shard 0, which has six small segments and a
+ * large one. */
 static void lead_with_segments(controller_fixture *fixture)
 {
     start_controller(fixture);
@@ -137,7 +139,7 @@
         fixture_put_segment(fixture, segment, 10 * segment, 5);
     fixture_put_segment(fixture, LARGE_SEGMENT, LARGE_FIRST, LARGE_MEMBERS);
     finish_loading(fixture);
-    fixture->now += 5; /* the news of the shard is old */
+    fixture->now += 5; /* the records of the shard were read 5 s ago */
     tick_controller(fixture);
     take_actions(fixture, NULL, NULL);
     mv_controller_session_renewed(fixture->controller, fixture->now, 7, fixture->now);
@@ -157,7 +159,7 @@
     fixture_apply_transaction(fixture, action);
 }
 
-/* The leader writes its partition, and the state cache shows what was written. */
+/* The leader writes its partition, and the state cache receives the written records. */
 static void write_and_observe_partition(controller_fixture *fixture, segment_writes *observed)
 {
     g_assert_true(write_partition(fixture->controller, 0));
@@ -168,8 +170,9 @@
     reconcile_partition(fixture->controller, 0);
 }
 
-/* Six segments with a machine to be fenced, and one too large to be written again, all at once: a
- * slice that is split off must leave room for the new term. */
+/* Six segments each have a machine to be fenced, and a seventh segment is too large to be written
+ * again. When the leader splits a slice off the large segment, the transaction must leave space for
+ * the write of the new term. */
 static void split_leaves_space_for_new_term(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
@@ -184,8 +187,9 @@
     for (int i = 0; i < 4; i++)
         write_and_observe_partition(&fixture, &observed);
 
-    g_assert_cmpuint(observed.writes_max, >=, FENCED_SEGMENTS + 1); /* and the term */
-    g_assert_cmpuint(observed.split, >, 0);                         /* and the slice after all */
+    g_assert_cmpuint(observed.writes_max, >=,
+                     FENCED_SEGMENTS + 1);  /* fenced segments and the term */
+    g_assert_cmpuint(observed.split, >, 0); /* a later transaction writes the slice */
     fixture_free(&fixture);
 }
 
@@ -195,7 +199,8 @@
     unsigned new_segments;
 } split_order;
 
-/* New segments come after the old one in the order of keys, and before it in that of writes. */
+/* Checks that the keys of the new segments sort after the key of the old segment, and that the new
+ * segments are written before the old segment. */
 static void observe_split_order(controller_fixture *fixture, const mv_action *action, gpointer data)
 {
     (void)fixture;
@@ -215,14 +220,15 @@
 
 #define SEGMENTS 12
 
-/* One of twelve segments is too large and is split while an old controller is there. */
+/* Checks the order of the writes when `segment`, one of twelve segments, is too large and is split
+ * while a controller of the old version runs. */
 static void assert_split_order(unsigned segment)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
     split_order observed = {0};
     g_snprintf(observed.old_key, sizeof observed.old_key, KEY_PARTITION_PREFIX "0/%u", segment);
     start_controller(&fixture);
-    fixture_lead(&fixture, 1); /* its node record names no format */
+    fixture_lead(&fixture, 1); /* the node record names no format, as of the old version */
     set_value_limit(fixture.controller, 2048);
     for (unsigned i = 0; i < SEGMENTS; i++)
         fixture_put_segment(&fixture, i, 50 * i, i == segment ? 40 : 2);
@@ -237,8 +243,9 @@
     fixture_free(&fixture);
 }
 
-/* With an old controller about, whatever segment is split: the new segments come after it in the
- * order of keys, in which a list is read, and the old segment is the last to be written. */
+/* While a controller of the old version runs, any segment may be split. The new segments' keys sort
+ * after the old segment's key, because a list is read in the order of keys, and the old segment is
+ * written last. */
 static void new_segments_are_listed_later(void)
 {
     for (unsigned segment = 0; segment < SEGMENTS; segment++)
@@ -254,7 +261,7 @@
     unsigned written, removed;
 } completion_writes;
 
-/* Every transaction stays within the limits of the state store. */
+/* Commits a transaction after checking that it stays within the state store's limits. */
 static void commit_completion_writes(controller_fixture *fixture, const mv_action *action,
                                      gpointer data)
 {
@@ -273,7 +280,7 @@
     fixture_apply_transaction(fixture, action);
 }
 
-/* Time passes, and every transaction is committed. */
+/* Advances the time by `steps` half seconds and commits every transaction of the controller. */
 static void pass_with_commits(controller_fixture *fixture, unsigned steps,
                               completion_writes *observed)
 {
@@ -284,7 +291,8 @@
     }
 }
 
-/* The controller owns a job of as many tasks as a job may have, where a value holds 1 KiB. */
+/* Makes the controller the owner of a job with the largest permitted number of tasks, while a value
+ * in the state store holds at most 1 KiB. */
 static void own_largest_job(controller_fixture *fixture)
 {
     const mv_job_spec spec = {
@@ -316,7 +324,8 @@
                      (MV_JOB_TASKS_MAX + 2) / 3);
     g_assert_cmpuint(inspect_completion_records(fixture.controller, JOB_ID), ==, observed.written);
 
-    fixture_put_record(&fixture, KEY_JOB_PREFIX JOB_ID, NULL); /* over: every record has to go */
+    fixture_put_record(&fixture, KEY_JOB_PREFIX JOB_ID,
+                       NULL); /* the job is over, so all of its records are deleted */
     pass_with_commits(&fixture, 200, &observed);
 
     g_assert_cmpuint(observed.written, ==,
@@ -328,7 +337,8 @@
 
 /* --- job records and limits --- */
 
-/* A job whose list of types makes its record too large keeps those that exist. */
+/* If the list of machine types makes a job's record too large, the controller keeps each existing
+ * type once. If no type remains, trimming the record fails. */
 static void job_record_keeps_types_that_exist(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
--- a/tests/test_shard_records.c
+++ b/tests/test_shard_records.c
@@ -1,8 +1,9 @@
 /**
- * Shard records: which controller the leader grants a shard to, and that the teams of all shards
- * fit into records of the state store's limits.
+ * Shard records: the leader grants each shard to a suitable controller, and the records that assign
+ * the teams to shards stay within the state store's limits.
  *
- * Rules of the protocol page: `txn_ops` writes in a transaction, `value_kb` KiB per value.
+ * Rules of the protocol page: at most `txn_ops` writes in a transaction and `value_kb` KiB per
+ * value.
  */
 #include "controller_helpers.h"
 
@@ -19,7 +20,7 @@
         fixture_apply_transaction(fixture, action);
 }
 
-/* n1 tells the leader that it hands its shard on. */
+/* Controller n1 tells the leader that n1 resigns as the owner of its shard. */
 static void resign_as_owner(controller_fixture *fixture)
 {
     mv_shard_demand *demand = fixture_offer_machine(5, 0);
@@ -36,8 +37,8 @@
     return false;
 }
 
-/* A controller that reaches no machine hands its shard on and gets no other for a while, though it
- * owns the fewest. */
+/* A controller that reaches no machine resigns as the owner of its shard. For a while, the leader
+ * grants the controller no other shard, although it owns the fewest. */
 static void resigned_owner_gets_no_shard(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
@@ -66,13 +67,14 @@
 #define TEAM_SHARDS 3
 #define TEAM_WRITES_MAX 8
 
-/* A state store with the limits of the fixture's settings, and our lease there. */
+/* A state store with the limits of the fixture's settings, and the controller's lease in it. */
 typedef struct {
     fake_state_store *store;
     uint64_t lease;
 } leased_store;
 
-/* The store commits a transaction, and the state cache sees what it wrote. */
+/* Commits a transaction to the state store and gives the written records to the controller's state
+ * cache. */
 static void commit_to_store(controller_fixture *fixture, const mv_action *action, gpointer data)
 {
     const leased_store *state = data;
@@ -91,7 +93,7 @@
                                         MV_TRANSACTION_COMMITTED);
 }
 
-/* A controller with sixty teams and small limits starts where nothing is stored yet. */
+/* Starts a controller with sixty teams and small limits while the state store is empty. */
 static void start_with_many_teams(controller_fixture *fixture)
 {
     start_controller(fixture);
@@ -110,8 +112,8 @@
     finish_loading(fixture);
 }
 
-/* Sixty teams where a value holds 1 KiB: no write of the first leader is too large, and every team
- * ends up in a shard. */
+/* With sixty teams and values of at most 1 KiB, no write of the first leader is too large, and
+ * every team is assigned to a shard. */
 static void many_teams_fit_into_shard_records(void)
 {
     controller_fixture fixture = {.machines = 0, .report_s = 1};
