--- a/tests/test_processes.c
+++ b/tests/test_processes.c
@@ -1,13 +1,14 @@
 /**
- * Three real processes on loopback, against fakes of the state store, the cloud and the agents:
- * submissions, polls, cancellations, services, a kill, a restart, all three killed.
+ * Three real controller processes on loopback, with fakes of the state store, the cloud and the
+ * agents. Users submit, poll and cancel jobs and services while processes are killed and restarted,
+ * one at a time and all three together.
  *
- * Rules of the protocol page: "Users -> controller nodes" - the codes of each answer, and no node
- * tells a user anything older than what any node has told before -, `forgotten`, `went_back`, and
- * that an accepted job must run even when every node fails.
+ * Rules of the protocol page: "Users -> controller nodes" - the status codes of each answer, and no
+ * node gives a user an older status than any node has given before -, `forgotten`, `went_back`, and
+ * an accepted job must run even if every node fails.
  *
- * The tests run in the order of `main` and share the processes: later ones ask about jobs of
- * earlier ones.
+ * The tests run in the order of `main` and share the processes: later tests poll jobs of earlier
+ * tests.
  */
 #include "process_cluster.h"
 
@@ -74,13 +75,13 @@
 #define POLLERS (2 * NODES)
 #define POLLS 8
 
-/* A user who asks one node again and again, within milliseconds, and repeats the submission. */
+/* A user who polls a job at one node every few milliseconds and repeats the job's submission. */
 typedef struct {
     unsigned node;
     const char *id;
-    const char *expected_status; /* NULL: any, as long as the job is known */
+    const char *expected_status; /* NULL: any status, if the node knows the job */
     unsigned answered;
-    unsigned outdated; /* answers that were older than what a user knew */
+    unsigned outdated; /* answers older than what some node had already told a user */
 } immediate_poller;
 
 static gpointer poll_immediately(gpointer data)
@@ -104,7 +105,8 @@
     return NULL;
 }
 
-/* Users at every node, at the same time; none gets an outdated answer. */
+/* Checks that no user gets an outdated answer when users poll the job at all nodes at the same
+ * time. */
 static void assert_no_outdated_answers(const char *id, const char *expected_status)
 {
     immediate_poller pollers[POLLERS];
@@ -123,7 +125,8 @@
     g_assert_cmpuint(answered, >, 0);
 }
 
-/* Right after a job was accepted, cancelled or completed, no node tells anybody something older. */
+/* After a job was accepted, cancelled or completed, no node gives a user an older status, even
+ * immediately after the change. */
 static void answers_never_go_back(void)
 {
     char id[MV_ID_SIZE], status[STATUS_SIZE];
@@ -137,15 +140,17 @@
             continue;
         }
         cancel(id, status);
-        assert_no_outdated_answers(id, status); /* cancelled, or done just before */
+        assert_no_outdated_answers(
+            id, status); /* cancelled, or done if the job ended before the cancellation */
     }
 }
 
 #define SHARED_JOBS 14
 
-/* With many jobs about, polls share the watches instead of asking the state store one by one: none
- * may be told less than is so. How many do share depends on the clock, and is not judged. Each job
- * here comes with a poll for every earlier one, at every node. */
+/* With many jobs, a node answers several polls from one watch instead of reading each job from the
+ * state store. Such a poll must still know every accepted job. Each submission here is followed by
+ * a poll of that job and of every earlier job, spread over all nodes. How many polls share a watch
+ * depends on the clock, so the test does not check that number. */
 static void polls_that_share_watches_know_every_job(void)
 {
     char id[MV_ID_SIZE], path[PATH_SIZE], status[STATUS_SIZE];
@@ -165,7 +170,7 @@
     }
 }
 
-/* --- records that others write --- */
+/* --- records that no controller of this version writes --- */
 
 /* Commits a transaction without preconditions to the state store. */
 static void commit_writes(GArray *writes)
@@ -176,7 +181,7 @@
     mv_environment_unlock(environment);
 }
 
-/* Adds a write to a transaction; `data` stays the caller's, NULL deletes the key. */
+/* Adds a write to a transaction. The caller keeps the ownership of `data`; NULL deletes the key. */
 static void add_write(GArray *writes, const char *key, GBytes *data)
 {
     mv_write write = {.data = data};
@@ -186,8 +191,8 @@
 
 #define OLD_NODE_KEY KEY_NODE_PREFIX "n9"
 
-/* The node record of a controller that went back to the version before services, as that version
- * writes it; or none. */
+/* Writes the node record of a controller that was downgraded to the version before services, in the
+ * format of that version; if `exists` is false, deletes the record. */
 static void set_old_node_record(bool exists)
 {
     const mv_lease_holder old = {.node = "n9", .incarnation = 999};
@@ -199,7 +204,8 @@
 
 /* --- services --- */
 
-/* A service runs until it is cancelled, and is never done. */
+/* Waits until the service has the status "running". A service runs until a user cancels it, so the
+ * status "done" fails the test. */
 static void wait_until_service_runs(const char *id)
 {
     char path[PATH_SIZE], status[STATUS_SIZE] = "";
@@ -213,7 +219,8 @@
     g_assert_cmpstr(status, ==, WIRE_RUNNING);
 }
 
-/* The node rejects services as soon as it has seen the record of the old version. */
+/* Checks that the node rejects services after its state cache received the node record of the old
+ * version. */
 static void assert_node_rejects_services(unsigned node)
 {
     char id[MV_ID_SIZE], status[STATUS_SIZE];
@@ -223,16 +230,16 @@
         g_autoptr(GBytes) service = pack_service(id, 2);
         code = send_request(node, "POST", WIRE_JOBS_PATH, service, status);
         g_assert_cmpint(code, !=, 400);
-        if (code == 201) /* it had not seen it */
+        if (code == 201) /* the node had not received the record yet */
             cancel(id, status);
         g_usleep(50 * 1000);
     }
     g_assert_cmpint(code, ==, 503);
 }
 
-/* One that asks for more than its team's limit in all is refused. While there is a node record of
- * the old version, a new service gets 503 from every node, and what was accepted before stays
- * known. */
+/* A node refuses a service whose replicas together need more than the team's limit. While a node
+ * record of the old version exists, every node answers a new service with 503, and the services
+ * accepted earlier remain known. */
 static void services_run_until_cancelled(void)
 {
     char status[STATUS_SIZE];
@@ -254,8 +261,9 @@
 
 /* --- records of the old version --- */
 
-/* What the old version left, in its format: a job with some tasks recorded as done, the completions
- * of one that is over, a term. */
+/* Writes the records that the old version leaves behind, in the format of that version: a job with
+ * some tasks recorded as done, the completion record and the final record of a job that is over,
+ * and a term. */
 static void leave_old_records(void)
 {
     const mv_job_spec spec = usual_job("j-000500", "red", 2);
@@ -285,8 +293,8 @@
     return collected;
 }
 
-/* The job runs to its end, the one that is over stays done, and the completion records that they
- * leave behind are garbage collected. */
+/* The unfinished job of the old version runs to its end, the finished job stays done, and the
+ * completion records of both jobs are garbage collected. */
 static void old_records_are_taken_over(void)
 {
     bool collected = false;
@@ -320,11 +328,12 @@
     wait_done("j-000011");
     wait_done("j-000012");
     wait_done("j-000013");
-    wait_done("j-000001"); /* long over, still known */
+    wait_done("j-000001"); /* completed by an earlier test; the nodes still know the job */
     g_assert_cmpuint(mv_environment_refused_transactions(environment), >, 0);
 }
 
-/* Started in an outage of the cloud, controllers take the machine types from the state store. */
+/* Controllers that start during an outage of the cloud read the machine types from the state store,
+ * so jobs are still accepted. */
 static void jobs_are_accepted_in_cloud_outage(void)
 {
     mv_environment_set_cloud_down(environment, true);
--- a/tests/test_service_replicas.c
+++ b/tests/test_service_replicas.c
@@ -1,11 +1,12 @@
 /**
- * Replicas of services: the reserve that is kept for them, moves ahead of a loss, how soon a loss
- * is noticed, and starts where the image comes in time.
+ * Replicas of services: the reserve that a shard keeps for them, moves before a machine is lost,
+ * the time until the loss of a machine is detected, and placement on machines that fetch the image
+ * in time.
  *
- * Rules of the protocol page: spot machines are taken back after a notice or without one;
- * `ran_twice`: a replica starts on its new machine only when it has left the old one, which the
- * fixture asserts at every launch; the lease by which alone a machine without heartbeats is known
- * to have ended its tasks.
+ * Rules of the protocol page: the cloud takes spot machines back with or without a notice;
+ * `ran_twice`: a replica starts on its new machine only after it has left the old machine, which
+ * the fixture asserts at every launch; only the expiry of its lease shows that a machine without
+ * heartbeats has ended its tasks.
  */
 #include "controller_helpers.h"
 
@@ -14,10 +15,10 @@
 #define RESERVE_MACHINE "vm-000001"
 #define REPLICA_CORES 2
 #define SMALL_CORES 32 /* cores of the type of RESERVE_MACHINE */
-#define ALL_TYPES 3    /* a bit for each of the fixture's two machine types */
-#define FAST_TYPE 1    /* the bit of the first of them */
+#define ALL_TYPES 3    /* bits of the fixture's two machine types */
+#define FAST_TYPE 1    /* bit of the fixture's first machine type */
 
-/* A service of two-core replicas. */
+/* Adds a service with replicas of two cores. */
 static void add_service(controller_fixture *fixture, const char *id, unsigned replicas, bool spot)
 {
     mv_job_spec spec = {.service = true,
@@ -32,9 +33,9 @@
 
 /* --- the reserve --- */
 
-/* Before the first service a large shard asks for an on-demand machine in reserve, for which no
- * task is stopped; then for as many slots as the largest service has replicas. The last machine
- * that has such slots is not returned. */
+/* Before its first service, a large shard requests on-demand reserve slots, for which no task is
+ * stopped. Afterwards the shard requests as many slots as its largest service has replicas, and it
+ * does not return the last machine with reserve slots. */
 static void shard_keeps_reserve_for_largest_service(void)
 {
     controller_fixture fixture = {.machines = 60, .report_s = 1};
@@ -43,7 +44,7 @@
     mv_resource_demand reserve = inspect_reserve(fixture.controller, 0);
     g_assert_cmpuint(reserve.count, ==, MV_RESERVE_SLOTS_INITIAL);
     g_assert_true(!reserve.service && !reserve.spot);
-    /* The fleet has only spot machines, all of which are taken back some day. */
+    /* The fleet has only spot machines, which the cloud may take back, so no machine has slots. */
     g_assert_cmpuint(inspect_reserve_slots(fixture.controller, 0), ==, 0);
 
     make_on_demand(fixture.controller, RESERVE_MACHINE);
@@ -63,7 +64,7 @@
 
 /* --- services of other shards --- */
 
-/* The demand of n1, which lacks machines for replicas or lacks nothing. */
+/* Returns a demand of controller n1, whose shard lacks machines for replicas or lacks nothing. */
 static mv_shard_demand *demand_of_peer(bool lacks_machines)
 {
     mv_shard_demand *demand = fixture_offer_machine(5, 0);
@@ -80,7 +81,8 @@
     return demand;
 }
 
-/* The controller leads and owns a shard with on-demand machines, on which batch tasks run. */
+/* Makes the controller the leader and the owner of a shard with on-demand machines, on which batch
+ * tasks run. */
 static void run_batch_work_on_demand(controller_fixture *fixture)
 {
     start_controller(fixture);
@@ -98,8 +100,8 @@
     g_assert_cmpuint(fixture->launches, >, 0);
 }
 
-/* At most how many machines with batch work are emptied at once for another shard's services, while
- * the cloud has no machines. */
+/* Returns the largest number of machines from which the controller evicts batch tasks at the same
+ * time for another shard's services, while the cloud has no machines. */
 static unsigned machines_evicted_for_peer(bool peer_lacks_machines)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1};
@@ -119,8 +121,9 @@
     return evicting_max;
 }
 
-/* Batch work on the only kind of machine that takes replicas is stopped, on one machine, when
- * another shard's services lack one and the cloud has none; without that lack it is left alone. */
+/* If another shard's services lack a machine and the cloud has none, the controller evicts the
+ * batch tasks of one machine of the only kind that takes replicas. Otherwise no batch task is
+ * evicted. */
 static void one_machine_is_evicted_for_services_of_peer(void)
 {
     g_assert_cmpuint(machines_evicted_for_peer(true), ==, 1);
@@ -129,7 +132,8 @@
 
 /* --- losses --- */
 
-/* The replica's machine gets its notice; whether the replica has left it within four seconds. */
+/* The machine of a replica gets a reclaim notice. Checks that the replica has moved to another
+ * machine within four seconds if `moves` is true, and that it stays if `moves` is false. */
 static void assert_move_ahead_of_notice(unsigned machines, bool moves)
 {
     controller_fixture fixture = {.machines = machines, .report_s = 1};
@@ -149,15 +153,17 @@
     fixture_free(&fixture);
 }
 
-/* A machine with a notice: its replica is stopped there once another has room, and starts there.
- * Without another it stays to the end. */
+/* If a machine gets a reclaim notice and another machine has room, the replica is stopped on the
+ * first machine and starts on the other. If no other machine has room, the replica keeps running on
+ * the machine until the cloud takes it back. */
 static void replica_moves_ahead_of_notice(void)
 {
     assert_move_ahead_of_notice(1, false);
     assert_move_ahead_of_notice(2, true);
 }
 
-/* A fleet that reports every six seconds, with one replica or with a job on every machine. */
+/* Starts one replica, or tasks of a batch job on every machine, in a fleet whose agents send a
+ * heartbeat every six seconds. */
 static void run_tasks_with_rare_heartbeats(controller_fixture *fixture, bool service)
 {
     start_controller(fixture);
@@ -169,7 +175,8 @@
     if (service)
         add_service(fixture, "j-000079", 1, true);
     else
-        fixture_add_batch_job(fixture, 1, 16); /* tasks of half a machine: on each of them */
+        fixture_add_batch_job(fixture, 1,
+                              16); /* a task fills half a machine, so every machine gets tasks */
     fixture_advance(fixture, 8);
 }
 
@@ -181,8 +188,9 @@
     return index;
 }
 
-/* Seconds from the last heartbeat of a machine with tasks until it counts as failed. Its tasks stay
- * bound to it: that no heartbeat comes proves nothing about them. */
+/* Returns the seconds from the last heartbeat of a machine with tasks until the controller counts
+ * the machine as failed. The tasks stay bound to the machine, because missing heartbeats do not
+ * prove that the tasks have ended. */
 static double failure_detected_after(bool service)
 {
     controller_fixture fixture = {.machines = 60, .report_s = 6};
@@ -209,8 +217,8 @@
     return detected_after_s;
 }
 
-/* The bound that SAFETY names: 1.5 s until the first probe, three probes of 0.4, 0.8 and 1.2 s with
- * pauses of 0.2 and 0.4 s between them, and the checks of the machine. */
+/* The bound from the page SAFETY: 1.5 s until the first probe, three probes of 0.4, 0.8 and 1.2 s
+ * with pauses of 0.2 and 0.4 s between them, and the controller's checks of the machine. */
 #define DETECTION_WITH_REPLICA_MAX_S 6.5
 
 static void machine_with_replica_fails_sooner(void)
@@ -228,9 +236,10 @@
 /* --- images --- */
 
 #define SLOW_FETCH_GB_PER_S 0.1
-#define FAST_FETCH_GB_PER_S 1.0 /* ten times as fast */
+#define FAST_FETCH_GB_PER_S 1.0 /* ten times SLOW_FETCH_GB_PER_S */
 
-/* Four machines that fetch images slowly, but for the first, which fetches at this rate. */
+/* Makes the controller the owner of four machines. The first machine type fetches images at
+ * `first_gb_per_s`, the other types fetch images slowly. */
 static void hold_fleet_with_fetch_rate(controller_fixture *fixture, double first_gb_per_s)
 {
     start_controller(fixture);
@@ -242,7 +251,8 @@
     fixture_advance(fixture, 3);
 }
 
-/* Half of the replicas may share the machine that gets the image in time; the rest are spread. */
+/* Half of the replicas may share the only machine that fetches the image in time. The controller
+ * spreads the other replicas over the other machines. */
 static void half_of_replicas_share_fast_machine(void)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1};
@@ -261,7 +271,8 @@
     fixture_free(&fixture);
 }
 
-/* The machine types of the reserve of a service, where the first machine fetches at this rate. */
+/* Returns the bits of the machine types that count for the reserve of a service if the first
+ * machine type fetches images at `first_gb_per_s`. */
 static uint32_t reserve_types_with_fetch_rate(double first_gb_per_s)
 {
     controller_fixture fixture = {.machines = 4, .report_s = 1};
@@ -273,7 +284,8 @@
     return type_mask;
 }
 
-/* Slots count as a reserve where an image comes in time; anywhere if it does so nowhere. */
+/* Only slots on machine types that fetch the image in time count as reserve. If no type fetches the
+ * image in time, slots on all types count. */
 static void reserve_is_where_images_come_in_time(void)
 {
     g_assert_cmphex(reserve_types_with_fetch_rate(SLOW_FETCH_GB_PER_S), ==, ALL_TYPES);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,10 +1,11 @@
 /**
- * Settings, of the platform's file and of the operators': what is right is read, what is wrong is
- * named, and the bound of a cancellation stays within what the protocol page promises.
+ * Settings from the platform's file and from the operators' file: valid settings are read, the
+ * error names an invalid setting, and the upper bound of a cancellation's duration stays below
+ * `cancel_s`.
  *
  * Rules of the protocol page: "within `cancel_s` all of its tasks must be gone" after a
- * cancellation, and the limits of the state store (`state`), of which those to come count from the
- * first write on.
+ * cancellation; the limits of the state store (`state`), of which announced future limits apply
+ * from the first write on.
  */
 #include "config/settings.h"
 
@@ -84,13 +85,15 @@
     g_assert_cmpfloat(settings->ram_mb, ==, 128);
     g_assert_cmpuint(settings->max_connections, ==, 2581);
     g_assert_cmpint(settings->objectives[0].kind, ==, MV_OBJECTIVE_WAIT);
-    /* The lease of a former owner and then those of its agents must be over before cancel_s. */
+    /* The lease of a former shard owner and then the leases of its agents must end before cancel_s.
+     */
     g_assert_cmpfloat(mv_settings_cancel_bound_s(settings), <, settings->cancel_s);
     mv_settings_free(settings);
 }
 
-/* The times of the three sites: the bound of a cancellation is the sum of its terms and stays below
- * cancel_s, which leaves each of them a shard lease of more than a few sessions. */
+/* With the settings of three sites, the upper bound of a cancellation's duration is the sum of the
+ * shard lease, the agent's lease and the time to kill the tasks. The sum stays below cancel_s and
+ * leaves each site a shard lease of more than three session lifetimes. */
 static void cancel_bound_stays_below_cancel_s(void)
 {
     static const struct {
@@ -111,8 +114,8 @@
     }
 }
 
-/* The valid platform's file with the first line that begins with `prefix` replaced; `replacement`
- * NULL: without it. The caller frees it. */
+/* Returns the text of the valid platform's file, in which `replacement` replaces the first line
+ * that begins with `prefix`; NULL removes the line. The caller frees the text. */
 static char *platform_with_line(const char *prefix, const char *replacement)
 {
     g_auto(GStrv) lines = g_strsplit(VALID_PLATFORM, "\n", -1);
@@ -129,8 +132,8 @@
     return g_string_free(text, FALSE);
 }
 
-/* A line of the platform's file, what stands there instead, and the setting that the error names.
- */
+/* Each entry holds the prefix of a line of the platform's file, the invalid replacement of the
+ * line, and the setting that the error must name. */
 static const struct {
     const char *line, *replacement, *named;
 } INVALID_LINES[] = {
@@ -148,7 +151,8 @@
     {"report_s", NULL, "settings.workers.report_s"},
     {"lease_s", "lease_s = nan", "settings.workers.lease_s"},
     {"lease_s", "lease_s = 50.0", "settings.workers.cancel_s"},
-    {"cancel_s", "cancel_s = 31.0", "settings.workers.cancel_s"}, /* lease and kill: 31.01 */
+    {"cancel_s", "cancel_s = 31.0",
+     "settings.workers.cancel_s"}, /* agent lease and kill take 31.01 s */
     {"txn_ops", "txn_ops = 0", "settings.state.txn_ops"},
     {"rps", "rps = 0.0", "settings.state.rps"},
     {"list_lag_s", "list_lag_s = inf", "settings.cloud.list_lag_s"},
@@ -189,7 +193,8 @@
     g_assert_true(g_str_has_prefix(error->text, "/nowhere/at/all: "));
 }
 
-/* From the first write on, the smaller of today's limits and of those to come. */
+/* From the first write on, the controller keeps to the smaller of the present limit and the
+ * announced future limit. */
 static void smaller_of_present_and_future_limits_counts(void)
 {
     g_autoptr(mv_settings_error) error = NULL;
@@ -200,13 +205,13 @@
     g_assert_null(error);
     g_assert_cmpfloat(settings->value_kb, ==, 2);
     g_assert_cmpuint(settings->transaction_writes, ==, 8);
-    g_assert_cmpfloat(settings->state_store_write_rps, ==, 30); /* today's is the smaller one */
+    g_assert_cmpfloat(settings->state_store_write_rps, ==, 30); /* the present limit is smaller */
     g_assert_cmpfloat(settings->state_store_rps, ==, 150);
     mv_settings_free(settings);
 }
 
-/* The settings of the valid platform with this operators' file, which must be sound. The caller
- * frees them. */
+/* Returns the settings of the valid platform's file with the operators' file `yaml`, which must be
+ * valid. The caller frees the settings. */
 static mv_settings *load_operators(const char *yaml)
 {
     g_autoptr(mv_settings_error) error = NULL;
@@ -225,7 +230,8 @@
     mv_settings_free(settings);
 }
 
-/* What a file does not name stays as it is by default, also when it names nothing at all. */
+/* A setting that the operators' file does not name keeps its default, even if the file names no
+ * setting at all. */
 static void operators_file_without_settings_changes_nothing(void)
 {
     mv_settings *settings = load_operators("# nothing yet\n");
