--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -40,7 +40,7 @@
     controller_fixture fixture = {
         .machines = 400, .report_s = 5, .tick_s = 2 * MV_TICK_OVERLOADED_S};
     fixture_own_fleet(&fixture);
-    fixture_advance(&fixture, 10); /* the agents answer the first probes, and the window shrinks */
+    fixture_advance(&fixture, 10); /* the agents answer the first probes; the window adapts */
     fixture.held_commands = g_queue_new();
 
     for (unsigned i = 0; i < JOBS; i++)
--- a/tests/test_partition_size.c
+++ b/tests/test_partition_size.c
@@ -55,8 +55,8 @@
     mv_controller_free(fixture->controller);
     mv_settings_free(fixture->settings);
     fixture_start(fixture);
-    fixture_put_partition(
-        fixture); /* the partition's revision is below the grant's, as in a list of all records */
+    /* The partition's revision is below the grant's, as in a list of all records. */
+    fixture_put_partition(fixture);
     add_jobs_of_fleet(fixture);
     fixture_grant_shard(fixture, 6);
     finish_loading(fixture);
@@ -205,8 +205,8 @@
     controller_fixture fixture = {.machines = 1, .report_s = 1};
     mv_heartbeat status;
     mv_action *copy = launch_second_job_twice(&fixture);
-    fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR,
-                           SECOND_JOB); /* reports the tasks as running */
+    /* This heartbeat reports the tasks as running. */
+    fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR, SECOND_JOB);
 
     fail_tasks_of(&fixture, SECOND_JOB);
     const bool cleared_early = fixture_heartbeat_once(&fixture, MV_COMMAND_CLEAR, SECOND_JOB) > 0;
@@ -269,8 +269,8 @@
     controller_fixture fixture = {.machines = 1, .report_s = 1};
     unsigned answered_count = 0;
     mv_action *launch = hold_first_launch(&fixture);
-    mv_controller_command_completed(fixture.controller, fixture.now, launch->id, 0,
-                                    NULL); /* no answer: the agent may still receive the command */
+    /* The command gets no answer, so the agent may still receive it later. */
+    mv_controller_command_completed(fixture.controller, fixture.now, launch->id, 0, NULL);
     fixture_put_record(&fixture, KEY_JOB_PREFIX FIRST_JOB, NULL);
 
     for (int second = 0; second < FENCED_AFTER_S + 10; second++) {
--- a/tests/test_processes.c
+++ b/tests/test_processes.c
@@ -140,8 +140,8 @@
             continue;
         }
         cancel(id, status);
-        assert_no_outdated_answers(
-            id, status); /* cancelled, or done if the job ended before the cancellation */
+        /* The status is "cancelled", or "done" if the job ended before the cancellation. */
+        assert_no_outdated_answers(id, status);
     }
 }
 
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -187,9 +187,9 @@
     for (int i = 0; i < 4; i++)
         write_and_observe_partition(&fixture, &observed);
 
-    g_assert_cmpuint(observed.writes_max, >=,
-                     FENCED_SEGMENTS + 1);  /* fenced segments and the term */
-    g_assert_cmpuint(observed.split, >, 0); /* a later transaction writes the slice */
+    /* One transaction writes all fenced segments and the term. The slice is written as well. */
+    g_assert_cmpuint(observed.writes_max, >=, FENCED_SEGMENTS + 1);
+    g_assert_cmpuint(observed.split, >, 0);
     fixture_free(&fixture);
 }
 
@@ -324,8 +324,8 @@
                      (MV_JOB_TASKS_MAX + 2) / 3);
     g_assert_cmpuint(inspect_completion_records(fixture.controller, JOB_ID), ==, observed.written);
 
-    fixture_put_record(&fixture, KEY_JOB_PREFIX JOB_ID,
-                       NULL); /* the job is over, so all of its records are deleted */
+    /* The job is over, so the controller has to delete all of its completion records. */
+    fixture_put_record(&fixture, KEY_JOB_PREFIX JOB_ID, NULL);
     pass_with_commits(&fixture, 200, &observed);
 
     g_assert_cmpuint(observed.written, ==,
--- a/tests/test_safety_rules.c
+++ b/tests/test_safety_rules.c
@@ -1,10 +1,12 @@
 /**
- * The rules of the protocol page ("Rules": ran_twice, quota, wrong_place, ran_cancelled, forgotten,
- * invented, not_done, went_back, nothing_ran), over seeded runs of whole deployments with one kind
- * of fault each, then with all of them. Every rule is checked after each step.
+ * Seeded simulations of whole deployments, first with one kind of fault each, then with all kinds
+ * together. The simulation checks every rule of the protocol page ("Rules": ran_twice, quota,
+ * wrong_place, ran_cancelled, forgotten, invented, not_done, went_back, nothing_ran) after each
+ * step.
  *
- * And mutation testing: with one safety check of the controller disabled, some seed must break the
- * rule that the check stands for. That shows the check is needed, and that the runs would notice.
+ * The tests "/safety-checks/..." are mutation tests: each disables one safety check of the
+ * controller, and at least one seed must then break the rule that the check protects. This shows
+ * that the check is needed and that the simulation detects its absence.
  */
 #include "sim_assert.h"
 
@@ -71,7 +73,8 @@
 static void rules_hold_with_failing_jobs(void)
 {
     sim_plan plan = NO_FAULTS;
-    plan.cancel = 0.9; /* of which a third fail wherever they start */
+    /* Users cancel this share of the jobs, and 30% of these jobs fail on every machine. */
+    plan.cancel = 0.9;
     plan.jobs = 60;
     sim_assert_rules_hold(&plan, 91, 8);
 }
@@ -85,8 +88,8 @@
     sim_assert_rules_hold(&plan, 81, 6);
 }
 
-/* Commands that wait for seconds before they are executed, while heartbeats and their responses go
- * on; many tasks are preempted, so their attempts end and are cleared meanwhile. */
+/* Commands wait for seconds before the agents execute them, while heartbeats and their responses
+ * continue. Many tasks are preempted, so attempts end and are cleared while commands wait. */
 static const sim_plan SLOW_COMMANDS = {.slow_commands = 0.2,
                                        .latency_sensitive = 0.4,
                                        .cancel = 0.1,
@@ -104,7 +107,8 @@
     sim_assert_rules_hold(&plan, 311, 6);
 }
 
-/* Two zones, one of them small; jobs that keep to one zone and jobs that spread. */
+/* The fleet has two zones, of which one is small. Some jobs must run in one zone, and other jobs
+ * must be spread. */
 static void rules_hold_across_zones(void)
 {
     sim_plan plan = NO_FAULTS;
@@ -126,7 +130,8 @@
                                               .shards = 1,
                                               .jobs = 30};
 
-/* Heartbeats of a machine arrive, but neither responses nor commands reach it. */
+/* The heartbeats of a machine reach the controllers, but neither responses nor commands reach the
+ * machine. */
 static void rules_hold_when_commands_are_unreachable(void)
 {
     sim_plan plan = COMMANDS_UNREACHABLE;
@@ -145,8 +150,8 @@
                                               .shards = 1,
                                               .jobs = 40};
 
-/* Duplicates of heartbeats come seconds to minutes late, to controllers that restarted, to the next
- * owners and after the machine is gone. */
+/* Duplicates of heartbeats arrive seconds to minutes late: at controllers that have restarted, at
+ * later owners of the shard, and after the machine is gone. */
 static void rules_hold_with_duplicate_heartbeats(void)
 {
     sim_plan plan = DUPLICATE_HEARTBEATS;
@@ -168,7 +173,7 @@
     sim_assert_rules_hold(&plan, 251, 6);
 }
 
-/* Controllers and machines that are back within a fraction of a second, amid elections too. */
+/* Controllers and machines restart within a fraction of a second, also during leader elections. */
 static void rules_hold_across_quick_restarts(void)
 {
     sim_plan plan = NO_FAULTS;
@@ -190,7 +195,8 @@
                                             .shards = 1,
                                             .jobs = 50};
 
-/* Controllers stand still for seconds to far longer than all their leases, while clocks run on. */
+/* The processes of controllers pause for times from seconds to far longer than all of their leases,
+ * while the clocks continue. */
 static void rules_hold_when_controllers_freeze(void)
 {
     sim_assert_rules_hold(&FROZEN_CONTROLLERS, 341, 8);
@@ -219,7 +225,8 @@
 
 /* --- each safety check is needed --- */
 
-/* With a check disabled, some seed of these must break the rule that the check stands for. */
+/* If a safety check is disabled, at least one seed in this range must break the rule that the check
+ * protects. */
 #define MUTATION_SEED_FROM 100
 #define MUTATION_SEED_TO 340
 
@@ -284,9 +291,9 @@
     assert_check_is_needed(MV_CHECK_COMMANDS_UNREACHABLE, &plan, "stuck");
 }
 
-/* Fencing tokens keep the rules without it; but machines with tasks are returned by a leader of
- * long ago. MV_CHECK_RECENT_HEARTBEAT closes most ways to that: of 1,500 seeds one still shows it.
- */
+/* Without MV_CHECK_ACTION_VALID, fencing tokens still keep the rules, but a leader whose lease
+ * expired long ago can return machines with running tasks to the cloud. MV_CHECK_RECENT_HEARTBEAT
+ * prevents most of these returns, so only one of 1,500 seeds shows the fault. */
 #define ACTION_VALID_SEED 647
 
 static void action_valid_check_is_needed(void)
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -1,6 +1,7 @@
 /**
- * Deployments of another size than the simulation's own, which the build sets: NODES controllers
- * and CAPACITY machines. Every rule of the protocol page ("Rules") is checked after each step.
+ * Simulations of deployments whose size differs from the simulation's default. The build sets the
+ * size: NODES controllers and CAPACITY machines. The simulation checks every rule of the protocol
+ * page ("Rules") after each step.
  */
 #include "sim_assert.h"
 
@@ -27,7 +28,7 @@
     sim_assert_rules_hold(&plan, 101, SEEDS);
 }
 
-/* One of them, and all at once. */
+/* Single controllers crash, and all controllers crash at once. */
 static void rules_hold_when_owners_crash(void)
 {
     sim_plan plan = BASE;
@@ -36,7 +37,7 @@
     sim_assert_rules_hold(&plan, 201, SEEDS);
 }
 
-/* Of the state store. */
+/* The state store is unreachable for all controllers. */
 static void rules_hold_in_outage(void)
 {
     sim_plan plan = BASE;
@@ -44,7 +45,7 @@
     sim_assert_rules_hold(&plan, 301, SEEDS);
 }
 
-/* Spot machines are taken back together, and other machines crash. */
+/* The cloud takes many spot machines back at once, and other machines crash. */
 static void rules_hold_when_spot_machines_are_reclaimed(void)
 {
     sim_plan plan = BASE;
@@ -53,7 +54,8 @@
     sim_assert_rules_hold(&plan, 401, SEEDS);
 }
 
-/* Of single controllers, single directions and the peers, with the launch gate. */
+/* With the launch gate on, links of single controllers break: to the state store, to the peers, and
+ * in one direction only. The state store also becomes unreachable for all controllers. */
 static void rules_hold_across_network_partitions(void)
 {
     sim_plan plan = BASE;
--- a/tests/test_service_replicas.c
+++ b/tests/test_service_replicas.c
@@ -175,8 +175,8 @@
     if (service)
         add_service(fixture, "j-000079", 1, true);
     else
-        fixture_add_batch_job(fixture, 1,
-                              16); /* a task fills half a machine, so every machine gets tasks */
+        /* A task fills half a machine, so every machine gets tasks. */
+        fixture_add_batch_job(fixture, 1, 16);
     fixture_advance(fixture, 8);
 }
 
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -1,8 +1,9 @@
 /**
- * Services, and the rolling upgrade to the version that has them: upgrades in every order with
- * faults, the old version emulated by a controller that reads and writes as it did, limits of the
- * state store that are reduced at some moment. Every rule of the protocol page ("Rules") is checked
- * after each step; besides, a service that was not cancelled must run in the end.
+ * Simulations of services and of the rolling upgrade to the version that supports them. Upgrades
+ * happen in every order and with faults; a controller that reads and writes as the old version did
+ * emulates the old version. The state store's limits are reduced at different times. The simulation
+ * checks every rule of the protocol page ("Rules") after each step, and a service that no user
+ * cancelled must run at the end.
  */
 #include "sim_assert.h"
 
@@ -15,8 +16,8 @@
                               .shards = 1,
                               .jobs = 40};
 
-/* Every rule holds with `count` seeds, in which services ran in the end, or the fault combination
- * of the plan took place, twice for each seed on average. */
+/* Checks that every rule holds with `count` seeds. On average, each run must count at least two
+ * services that run at the end or two occurrences of the plan's fault combination. */
 static void assert_rules_hold(sim_plan plan, guint32 first_seed, guint32 count)
 {
     unsigned combinations = 0;
@@ -26,7 +27,8 @@
     g_assert_cmpuint(combinations, >=, 2 * count);
 }
 
-/* With a check disabled, some seed must break the rule that the check stands for. */
+/* Checks that at least one seed breaks the rule that the safety check protects if the check is
+ * disabled. */
 static void assert_check_is_needed(mv_safety_check check, sim_plan plan, const char *rule)
 {
     plan.shards = SIM_SHARDS_BY_SEED;
@@ -83,7 +85,8 @@
                                  .shards = 1,
                                  .jobs = 40};
 
-/* Also while leaders change and jobs are cancelled meanwhile. */
+/* Replicas move before the cloud takes their machines back, also while leaders change and users
+ * cancel jobs. */
 static void replicas_move_ahead_of_notices(void)
 {
     sim_plan plan = BASE;
@@ -95,8 +98,7 @@
     assert_rules_hold(plan, 241, 8);
 }
 
-/* Services cancelled just as their controllers crash, all of them too, while replicas are placed.
- */
+/* Users cancel services just when the leader or all controllers crash while replicas are placed. */
 static void services_cancelled_at_leader_change(void)
 {
     sim_plan plan = BASE;
@@ -114,7 +116,7 @@
 {
     assert_rules_hold(UPGRADE, 81, 8);
     sim_plan plan = UPGRADE;
-    plan.rolling_upgrade = 4; /* the next is stopped while the last is not back */
+    plan.rolling_upgrade = 4; /* seconds; the next controller stops before the last one is back */
     plan.crash = 20;
     plan.duplicate_heartbeats = 0.1;
     assert_rules_hold(plan, 101, 8);
@@ -145,7 +147,7 @@
 {
     sim_plan plan = REDUCED_LIMITS;
     plan.machine_crash = 12;
-    /* The upgrade is from 30 to about 60 s: before it, amid it, after it. */
+    /* The upgrade lasts from 30 s to about 60 s, so the limits fall before, during or after it. */
     for (unsigned i = 0; i < 6; i++) {
         plan.limits_reduced_at = 25 + 20 * i;
         assert_rules_hold(plan, 141 + 10 * i, 3);
@@ -155,7 +157,7 @@
     assert_rules_hold(plan, 181, 6);
 }
 
-/* No controller is told, and none is upgraded. */
+/* The state store's limits fall, but no controller is told of the new limits or upgraded. */
 static void unannounced_limits_are_found(void)
 {
     sim_plan plan = REDUCED_LIMITS;
@@ -175,7 +177,7 @@
                                 .shards = 1,
                                 .jobs = 60};
 
-/* Partitions are split, and machines moved, while controllers list all records anew. */
+/* Partitions are split and machines move while controllers list all records again. */
 static void partitions_survive_relists(void)
 {
     assert_rules_hold(RELIST, 221, 6);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -151,8 +151,8 @@
     {"report_s", NULL, "settings.workers.report_s"},
     {"lease_s", "lease_s = nan", "settings.workers.lease_s"},
     {"lease_s", "lease_s = 50.0", "settings.workers.cancel_s"},
-    {"cancel_s", "cancel_s = 31.0",
-     "settings.workers.cancel_s"}, /* agent lease and kill take 31.01 s */
+    /* The agent's lease and the time to kill the tasks take 31.01 s. */
+    {"cancel_s", "cancel_s = 31.0", "settings.workers.cancel_s"},
     {"txn_ops", "txn_ops = 0", "settings.state.txn_ops"},
     {"rps", "rps = 0.0", "settings.state.rps"},
     {"list_lag_s", "list_lag_s = inf", "settings.cloud.list_lag_s"},
--- a/tests/test_site_profiles.c
+++ b/tests/test_site_profiles.c
@@ -1,7 +1,7 @@
 /**
- * Site profiles: the faults that the operators of a site expect, simulated with the times and
- * limits of its settings, each by itself, then together. Every rule of the protocol page ("Rules")
- * is checked after each step.
+ * Site profiles: simulations of the faults that the operators of a site expect, with the times and
+ * limits from the site's settings. Each kind of fault is simulated alone, then all kinds together.
+ * The simulation checks every rule of the protocol page ("Rules") after each step.
  */
 #include "sim_assert.h"
 #include "sim_sites.h"
@@ -24,7 +24,7 @@
     sim_assert_rules_hold(&BASE, 1, SEEDS);
 }
 
-/* They crash, hang, are cut off, are reclaimed after a notice. */
+/* Machines crash, hang, are cut off from the controllers, or are reclaimed after a notice. */
 static void rules_hold_with_unreliable_machines(void)
 {
     sim_plan plan = BASE;
@@ -35,7 +35,8 @@
     sim_assert_rules_hold(&plan, 101, SEEDS);
 }
 
-/* One, all, or back within a fraction of a second. */
+/* Single controllers crash, all controllers crash, or controllers restart within a fraction of a
+ * second. */
 static void rules_hold_when_controllers_crash(void)
 {
     sim_plan plan = BASE;
@@ -45,7 +46,8 @@
     sim_assert_rules_hold(&plan, 201, SEEDS);
 }
 
-/* Controllers are cut off from the state store, the agents, everything but the agents. */
+/* Returns a plan in which controllers are cut off from the state store, from the agents, or from
+ * everything except the agents. */
 static sim_plan cut_plan(void)
 {
     sim_plan plan = BASE;
@@ -67,7 +69,7 @@
     sim_assert_rule_breaks(MV_CHECK_QUARANTINE_REBUILT, &plan, "at work", 301, 301 + 3 * SEEDS);
 }
 
-/* It is out, slow, and its responses are lost or late. */
+/* The state store is unreachable or slow, and messages, also its responses, are lost or late. */
 static void rules_hold_with_unreliable_state_store(void)
 {
     sim_plan plan = BASE;
@@ -77,7 +79,7 @@
     sim_assert_rules_hold(&plan, 401, SEEDS);
 }
 
-/* While machines crash and are reclaimed. */
+/* The cloud refuses all requests while machines crash or are reclaimed and controllers crash. */
 static void rules_hold_in_cloud_outage(void)
 {
     sim_plan plan = BASE;
@@ -88,7 +90,7 @@
     sim_assert_rules_hold(&plan, 701, SEEDS);
 }
 
-/* While controllers crash. */
+/* Controllers cannot reach each other while controllers crash. */
 static void rules_hold_when_peers_refuse_connections(void)
 {
     sim_plan plan = BASE;
@@ -97,7 +99,7 @@
     sim_assert_rules_hold(&plan, 801, SEEDS);
 }
 
-/* Many spot machines are reclaimed at once, amid a burst of jobs. */
+/* The cloud reclaims many spot machines at once while users submit a burst of jobs. */
 static void rules_hold_across_reclaim_waves(void)
 {
     sim_plan plan = BASE;
@@ -108,7 +110,8 @@
     sim_assert_rules_hold(&plan, 901, SEEDS);
 }
 
-/* The state store refuses the leader, then everybody for longer than cancel_s. */
+/* The state store refuses the leader's requests and is then unreachable for all controllers for
+ * longer than cancel_s. */
 static void rules_hold_when_refusal_precedes_outage(void)
 {
     sim_plan plan = BASE;
@@ -119,7 +122,7 @@
     sim_assert_rules_hold(&plan, 551, SEEDS);
 }
 
-/* Controllers that freeze, machines that hang, commands and transactions that take long. */
+/* Controllers freeze, machines hang, and commands and transactions take a long time. */
 static void rules_hold_when_everything_is_slow(void)
 {
     sim_plan plan = BASE;
@@ -130,8 +133,8 @@
     sim_assert_rules_hold(&plan, 1001, SEEDS);
 }
 
-/* Controllers restarted one after the other, from the old version to this one; then once more while
- * others crash. */
+/* The controllers restart one after the other as this version instead of the old version, first
+ * without other faults, then while controllers crash. */
 static void rules_hold_across_rolling_upgrades(void)
 {
     sim_plan plan = BASE;
