--- a/src/config/platform_settings.c
+++ b/src/config/platform_settings.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 #define PATH_SIZE 80
-/* A larger quota of a team, or a longer time of an objective, is rejected as a mistake. */
+/* A larger guarantee or limit of a team, or a longer time of an objective, is rejected as a
+ * mistake. */
 #define AMOUNT_MAX 1e9
 /* Upper bound of requests per second, of kilobytes and of writes in a transaction. */
 #define RATE_MAX 1e6
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -22,7 +22,7 @@
     mv_endpoint endpoint;
 } mv_peer_settings;
 
-/** A team: its guaranteed quota (cpus, gpus) and its limit (cpus_max, gpus_max). 0 means no
+/** A team, its guaranteed resources (cpus, gpus) and its limit (cpus_max, gpus_max). 0 means no
  * guarantee or no limit. */
 typedef struct {
     char name[MV_NAME_SIZE];
--- a/src/connectivity/completions.c
+++ b/src/connectivity/completions.c
@@ -9,7 +9,8 @@
 struct mv_unrecorded_completions {
     GTree *jobs;      /* job id -> roaring_bitmap_t, ordered so that packing can resume */
     size_t bytes;     /* sum of bytes_of over all jobs */
-    size_t max_bytes; /* no task is added if another job would not fit */
+    size_t max_bytes; /* a task is refused unless `bytes` and MV_COMPLETIONS_JOB_BYTES together stay
+                         within this */
     unsigned task_count;
     char last_packed_job[MV_ID_SIZE]; /* packing continues after this job; "": at the first job */
 };
--- a/src/connectivity/completions.h
+++ b/src/connectivity/completions.h
@@ -29,7 +29,8 @@
 void mv_completions_remove_task(mv_unrecorded_completions *completions, const char *job,
                                 uint32_t task);
 
-/** Removes all tasks of a job that has ended, because the final record of the job exists. */
+/** Removes all tasks of a job that has ended. The final record of the job exists, so the tasks need
+ * no completion records any more. */
 void mv_completions_remove_job(mv_unrecorded_completions *completions, const char *job);
 
 /** Returns how many tasks the collection holds, over all jobs. */
--- a/src/connectivity/link_report.h
+++ b/src/connectivity/link_report.h
@@ -88,8 +88,8 @@
  * their ranges. */
 bool mv_link_report_is_valid(const mv_link_report *report);
 
-/** Returns the report's entry on the link to `node`, which the report owns, or NULL if the report
- * has no such entry. */
+/** Returns the report's entry on the link from the sender to `node`, or NULL if the report has no
+ * such entry. The report owns the entry. */
 const mv_peer_link *mv_link_report_find_peer(const mv_link_report *report, const char *node);
 
 /** Returns whether an age of a report is known (not MV_NEVER) and below `limit_s`. */
--- a/src/constants.h
+++ b/src/constants.h
@@ -223,8 +223,8 @@
  */
 #define MV_LINK_REPORT_TTL_S 2.0
 /**
- * A controller remembers the send times of this many of its own link reports: those of 2 s, sent to
- * 30 peers at once.
+ * A controller remembers the send times of this many of its own link reports. This number covers
+ * the link reports that a controller sends to 30 peers within 2 s.
  */
 #define MV_LINK_REPORTS_REMEMBERED 256u
 /** A peer has this long to respond to a link report. */
@@ -259,7 +259,7 @@
 #define MV_HOLD_DOWN_INITIAL_S 0.5
 /**
  * Longest time for which the links must be stable after a failure before a controller launches
- * tasks again; a failover takes as long.
+ * tasks again. A failover takes as long as this.
  */
 #define MV_HOLD_DOWN_MAX_S 8.0
 /** If the links had no failure for this long, the hold-down is MV_HOLD_DOWN_INITIAL_S again. */
@@ -522,7 +522,7 @@
  * with the load.
  */
 #define MV_ROUND_INTERVAL_PER_TASK_S 0.0002
-/** Longest pause between two scheduling rounds that pending tasks cause. */
+/** Longest pause that pending tasks can cause between two scheduling rounds. */
 #define MV_ROUND_INTERVAL_MAX_S 0.5
 /**
  * The pause after a scheduling round is at least this for each machine that the round examined.
@@ -573,8 +573,8 @@
 #define MV_HEADROOM_SHARE_MAX 0.2
 /**
  * A job that has waited this long is starving, and no capacity is kept back from it any more. The
- * rule is 90 s: after that, a job that waits although a machine has the resources counts as
- * starved.
+ * operators require that no job is left waiting for 90 s while a machine that fits it has room and
+ * its team is under its limit.
  */
 #define MV_STARVATION_TIMEOUT_S 45.0
 /**
@@ -584,8 +584,8 @@
 #define MV_STARVED_AFTER_S 120.0
 /**
  * A job that was accepted this long ago, and of which no task has been placed, precedes all other
- * jobs except services that are guaranteed or have production priority. The rule is that the job's
- * first task starts within 4 minutes.
+ * jobs except services that are guaranteed or have production priority. The operators require
+ * that the largest jobs begin within 4 minutes.
  */
 #define MV_STARVED_SEVERELY_AFTER_S 150.0
 
@@ -826,7 +826,7 @@
 
 /* --- Transport: HTTP client --- */
 
-/** Longest time to establish a connection; no host is further away than this. */
+/** Longest time to establish a connection; no host is so distant that this takes longer. */
 #define MV_CONNECT_TIMEOUT_MS 1000
 /**
  * The HTTP client rejects a response of more bytes than this, because responses to watches have no
--- a/src/coordination/agents/agents.h
+++ b/src/coordination/agents/agents.h
@@ -73,7 +73,8 @@
                                   with the current token */
     bool confirmed;            /**< a heartbeat came under the current fencing token */
     double reclaim_at;         /**< when the cloud reclaims the machine; 0: no notice */
-    bool clears_exited;        /**< the exited tasks of the current heartbeat are cleared */
+    bool clears_exited;        /**< this controller sends clear commands for the exited tasks of the
+                                  current heartbeat */
     double last_clear_at;
     /* tasks and resources */
     GPtrArray *placements; /**< mv_placement, owned */
--- a/src/coordination/agents/command_list.h
+++ b/src/coordination/agents/command_list.h
@@ -7,8 +7,8 @@
 GArray *mv_command_list_new(void);
 /**
  * Appends a command for one attempt of a task; copies the job id, task number and attempt of `task`
- * and reads nothing else of it. `grace_period_s`: seconds to save a checkpoint before a stop; 0: no
- * checkpoint, and for every other kind of command.
+ * and reads nothing else of it. `grace_period_s`: seconds that a stopped task has to save
+ * a checkpoint. A stop without a checkpoint and all other kinds of commands have 0.
  */
 void mv_command_append(GArray *commands, mv_command_kind kind, const mv_reported_task *task,
                        double grace_period_s);
--- a/src/coordination/agents/heartbeat.c
+++ b/src/coordination/agents/heartbeat.c
@@ -88,9 +88,9 @@
 }
 
 /* Handles the end of a replica. Whatever the reason, the replica has to run again, so no completion
- * is recorded. A replica that ended by itself before MV_REPLICA_LIFETIME_MIN_S is retried after a
- * back-off. Only an error counts as a failure on the machine. A refused launch pauses launches on
- * the machine. */
+ * is recorded. A replica that ended by itself after running for less than
+ * MV_REPLICA_LIFETIME_MIN_S is retried after a back-off. Only an error counts as a failure on the
+ * machine. A refused launch pauses launches on the machine. */
 static void replica_exited(mv_agents *agents, mv_machine *machine, mv_job *job,
                            const mv_placement *placement, mv_exit_reason reason)
 {
@@ -227,8 +227,8 @@
 {
     const mv_context *context = agents->context;
     mv_placement *placement = match_active_task(agents, machine, job, task);
-    /* The task must stop if its job has ended, if another attempt of it is placed, or if it is done
-     * already. */
+    /* No placement matches the reported task if the job has ended, if another attempt of the task
+     * is placed, or if the task is done already. The agent must then stop the task. */
     if (!placement) {
         machine->unknown_tasks++;
         mv_command_append(commands, MV_COMMAND_STOP, task, 0);
--- a/src/coordination/agents/placement.h
+++ b/src/coordination/agents/placement.h
@@ -7,7 +7,7 @@
 int mv_placement_find(const mv_machine *machine, const char *job_id, uint32_t task);
 /**
  * Adds a placement of a task of the job. The caller has set `task` and `attempt` of the placement;
- * the machine takes ownership of it.
+ * the machine takes ownership of the placement.
  */
 void mv_placement_add(mv_agents *agents, mv_machine *machine, mv_job *job, mv_placement *placement);
 /**
--- a/src/coordination/foundation/context.h
+++ b/src/coordination/foundation/context.h
@@ -38,7 +38,8 @@
     mv_machine_catalog catalog;
     GPtrArray *shards;    /**< mv_shard, by index; shards are added and never removed */
     mv_team *teams;       /**< one for each entry of settings->teams, in the same order */
-    bool round_requested; /**< something changed, so a scheduling round may place tasks */
+    bool round_requested; /**< a change since the last scheduling round may allow a new round to
+                             place tasks */
     mv_controller_counters counters;
 } mv_context;
 
--- a/src/coordination/foundation/team.h
+++ b/src/coordination/foundation/team.h
@@ -1,5 +1,6 @@
 /**
- * A team and the resources that the work of the team uses. Each team has a quota and a fair share.
+ * A team and the resources that the work of the team uses. The settings give each team guaranteed
+ * cores (`cpus`) and a limit (`cpus_max`).
  */
 #ifndef MV_TEAM_H
 #define MV_TEAM_H
@@ -14,7 +15,7 @@
  */
 typedef struct {
     const mv_team_settings *settings;
-    mv_shard *home_shard;         /**< the shard that runs all jobs of a team with a quota */
+    mv_shard *home_shard; /**< the shard that runs all jobs of a team with a guarantee or a limit */
     double used_cores, used_gpus; /**< used by placements */
     double stopping_cores;        /**< used by tasks that are stopping */
     /* latency-sensitive work */
@@ -25,7 +26,7 @@
     double preemptible_cores; /**< used by tasks with checkpoints that have a lower priority than
                                  the team's latency-sensitive work */
     double nominated_cores;   /**< needed by pending tasks for which a machine is nominated */
-    double reserved_cores;    /**< part of the quota that is kept free for a starved job */
+    double reserved_cores;    /**< cores of the limit that are kept free for a starved job */
     double service_cores;     /**< used by replicas */
 } mv_team;
 #endif
--- a/src/coordination/jobs/job.c
+++ b/src/coordination/jobs/job.c
@@ -69,7 +69,7 @@
             job->start_objective_s = MIN(job->start_objective_s, objective->within_s);
     }
     /* A service never counts as latency-sensitive, because the headroom that a team keeps free in
-     * its quota for latency-sensitive work is meant for jobs that end. */
+     * its limit for latency-sensitive work is meant for jobs that end. */
     job->latency_sensitive = job->start_objective_s < G_MAXDOUBLE && !job->spec.service;
     if (job->spec.service)
         job->start_objective_s = MIN(job->start_objective_s, MV_SERVICE_START_OBJECTIVE_S);
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -61,7 +61,7 @@
     double last_flush_at;
     unsigned recorded_running; /**< number of running tasks according to a completion record */
     /* written by the scheduler in its rounds */
-    bool guaranteed;             /**< the job is within the quota guarantee of its team */
+    bool guaranteed;             /**< the job is within the guaranteed cores of its team */
     bool deadline_unreachable;   /**< a task started now would end after the deadline */
     bool counted_in_usual_size;  /**< the team's latency_sensitive_job_cores include the job */
     unsigned starvation_level;   /**< precedence for the job's age: 0 none, 1 over jobs of the same
@@ -89,7 +89,7 @@
  * releases the table's contents with mv_job_table_clear.
  */
 void mv_job_table_init(mv_job_table *jobs, mv_context *context);
-/** Frees all jobs and the table's record state, but not `jobs` itself. */
+/** Frees all jobs and everything else that the table owns, but not `jobs` itself. */
 void mv_job_table_clear(mv_job_table *jobs);
 /** Returns the live job with this id, or NULL. */
 mv_job *mv_job_table_find(const mv_job_table *jobs, const char *id);
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -67,24 +67,25 @@
 /** Frees the cache and the tables, but not `membership` itself. */
 void mv_membership_clear(mv_membership *membership);
 
-/** Whether this process is the leader and its lease session is certainly valid. */
+/** Returns whether this process is the leader and its lease session is certainly valid. */
 bool mv_membership_is_leader(const mv_membership *membership);
 /** Updates whether this process is the leader at this tick, and returns whether that changed. */
 bool mv_membership_update_leading(mv_membership *membership);
-/** Whether the process that holds the lease is alive: its entry in the state cache has the same
- * incarnation. */
+/** Returns whether the process that holds the lease is alive: its entry in the state cache has the
+ * same incarnation. */
 bool mv_membership_holder_is_alive(const mv_membership *membership, const mv_lease_holder *holder);
 /**
- * Whether every controller is known to read the current format. Records that a controller of format
- * 1 cannot read are written only while this is true. The entry of a live controller states its
- * format. A controller that is down counts as old unless a record says that it used the current
- * format.
+ * Returns whether every controller is known to read the current format. Records that a controller
+ * of format 1 cannot read are written only while this is true. The entry of a live controller
+ * states its format. A controller that is down counts as old unless a record says that it used the
+ * current format.
  */
 bool mv_membership_formats_are_current(const mv_membership *membership);
 
 /** Records that a machine was returned to the cloud just now. */
 void mv_membership_mark_released(mv_membership *membership, const char *machine);
-/** Whether a machine was returned so recently that a delayed machine list may still name it. */
+/** Returns whether a machine was returned so recently that a delayed machine list may still name
+ * it. */
 bool mv_membership_was_released(const mv_membership *membership, const char *machine);
 /** Forgets the returned machines that no delayed machine list can name any more. */
 void mv_membership_forget_released(mv_membership *membership);
--- a/src/coordination/membership/partition_sizes.h
+++ b/src/coordination/membership/partition_sizes.h
@@ -10,9 +10,9 @@
 size_t mv_partition_member_bytes(const mv_partition_member *member);
 /** Returns the bytes that these mv_partition_member take together in a partition record. */
 size_t mv_partition_members_bytes(const GArray *members);
-/** Returns the bytes that the members of one record may take in a value. */
+/** Returns the maximum bytes that the members of one partition record may take together. */
 size_t mv_partition_value_capacity(const mv_context *context);
-/** Whether one segment has room for `members` machines that take `bytes` bytes together. */
+/** Returns whether one segment has room for `members` machines that take `bytes` bytes together. */
 bool mv_segment_fits(const mv_context *context, size_t bytes, guint members);
 /** Returns the bytes that the machines of the segment's occupancy record would take. */
 size_t mv_segment_occupancy_bytes(const mv_partition_segment *segment);
--- a/src/coordination/membership/partition_update.h
+++ b/src/coordination/membership/partition_update.h
@@ -13,12 +13,13 @@
 typedef struct {
     mv_action *transaction; /**< NULL: there is no write yet */
     uint64_t term; /**< term of the written members; a new term if above the membership's */
-    unsigned write_count, max_writes; /**< puts and deletes; `max_writes` leaves one for the term */
-    bool may_raise_term;              /**< no other transaction with a new term is in flight */
-    guint segment_count;              /**< segments of the partition, including new ones */
+    unsigned write_count,
+        max_writes; /**< puts and deletes; `max_writes` leaves room for the write of the term */
+    bool may_raise_term; /**< no other transaction with a new term is in flight */
+    guint segment_count; /**< segments of the partition, including new ones */
 } mv_partition_update;
 
-/** Whether the shard's owner, in a recent report, asks for a new term for the machine. */
+/** Returns whether the shard's owner, in a recent report, asks for a new term for the machine. */
 bool mv_machine_needs_fencing(const mv_context *context, const mv_machine *machine);
 /** Returns the entry that names the machine, under `term`, in a partition record. */
 mv_partition_member mv_partition_member_of(const mv_context *context, const mv_machine *machine,
@@ -31,12 +32,12 @@
 GArray *mv_segment_members(const mv_membership *membership, const mv_partition_segment *segment,
                            uint64_t *term);
 /**
- * Whether the segment's record still names machines that newer segments name too. Until the leader
- * writes the old record again, no machine may be taken out of the newer segments; otherwise a
- * controller that lists all records would find the machine in the old segment again.
+ * Returns whether the segment's record still names machines that newer segments name too. Until the
+ * leader writes the old record again, no machine may be taken out of the newer segments; otherwise
+ * a controller that lists all records would find the machine in the old segment again.
  */
 bool mv_segment_is_stale(const mv_partition_segment *segment);
-/** Whether mv_segment_is_stale is true of any segment of the shard's partition. */
+/** Returns whether mv_segment_is_stale is true of any segment of the shard's partition. */
 bool mv_shard_has_stale_segment(const mv_shard *shard);
 
 /** Adds a write of the record of a segment, existing or new, that names these mv_partition_member.
--- a/src/coordination/membership/shard_grants.c
+++ b/src/coordination/membership/shard_grants.c
@@ -40,7 +40,8 @@
     return until && membership->context->clock.now < *until;
 }
 
-/* A live controller that may be granted a shard, with what decides between candidates. */
+/* A live controller that may be granted a shard, and the properties by which the leader compares
+ * such candidates. */
 typedef struct {
     const mv_node_entry *entry; /* NULL: there is no candidate yet */
     unsigned load; /* shards that the controller owns or gets in the same transaction */
--- a/src/coordination/membership/shard_owner.c
+++ b/src/coordination/membership/shard_owner.c
@@ -20,8 +20,8 @@
 
 /* --- occupancy --- */
 
-/* Adds a write of the segment's occupancy record: the members that may hold tasks by an earlier
- * record, and the confirmed members, which may get tasks. */
+/* Adds a write of the segment's occupancy record: the members that may hold tasks according to
+ * an earlier record, and the confirmed members, which may get tasks. */
 static void put_occupancy(const mv_shard *shard, const mv_partition_segment *segment,
                           mv_action *transaction)
 {
--- a/src/coordination/scheduling/binding.c
+++ b/src/coordination/scheduling/binding.c
@@ -168,7 +168,7 @@
 typedef enum { BIND_GROUP_FULL, BIND_FINISHED } bind_result;
 
 /* Binds tasks of the job to a machine until the machine has no room, or only one task if `one_task`
- * is set. Sets `*bound` if a task was bound. Returns BIND_FINISHED if the team's quota is reached
+ * is set. Sets `*bound` if a task was bound. Returns BIND_FINISHED if the team's limit is reached
  * or no further task may be bound. */
 static bind_result bind_to_machine(mv_scheduler *scheduler, mv_job *job, mv_machine *machine,
                                    guint pending_min, bool one_task, bool *bound)
@@ -320,10 +320,10 @@
     return closest;
 }
 
-/* Reserves cores of the team's quota for one task of the starved job, so that the team's other jobs
- * do not use them up. If the team's replicas leave too few cores of the limit for the task, nothing
- * is reserved: replicas do not end, so the task could not start anyway, and the useless reservation
- * kept a lost replica from being placed again. */
+/* Reserves cores of the team's limit for one task of the starved job, so that the team's other jobs
+ * do not use up these cores. If the team's replicas leave too few cores of the limit for the task,
+ * nothing is reserved: replicas do not end, so the task could not start anyway, and the useless
+ * reservation kept a lost replica from being placed again. */
 static void reserve_quota(const mv_job *job)
 {
     mv_team *team = job->team;
--- a/src/coordination/scheduling/binding.h
+++ b/src/coordination/scheduling/binding.h
@@ -9,20 +9,21 @@
 #include "coordination/scheduling/scheduler.h"
 
 /**
- * Binds pending tasks of a job to the best machines until no machine has room or the quota of the
+ * Binds pending tasks of a job to the best machines until no machine has room or the limit of the
  * job's team is reached.
  */
 void mv_bind_job(mv_scheduler *scheduler, mv_job *job);
 /**
  * Reserves resources for a severely starved job whose tasks fit on no machine. The machine that
  * lacks least for a task is nominated, so that this machine takes no other task; if the team's
- * limit is the obstacle, quota is reserved instead. Each round repeats the reservation until a task
- * fits. Without the reservation, small tasks would fill every gap that a large task waits for.
+ * limit is the obstacle, cores of the limit are reserved instead. Each round repeats the
+ * reservation until a task fits. Without the reservation, small tasks would fill every gap that a
+ * large task waits for.
  */
 void mv_reserve_for_starved(mv_scheduler *scheduler, mv_job *job);
 /**
  * Returns the best machine with room for one more task of the job, or NULL if no machine has room.
- * For use between rounds.
+ * The function is for use between rounds.
  */
 mv_machine *mv_scheduler_find_machine(const mv_scheduler *scheduler, mv_job *job);
 
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -241,11 +241,11 @@
     }
 }
 
-/* --- room within the quota --- */
+/* --- room within the team's limit --- */
 
 /* Returns whether a task of the same team may be preempted for the job: the task has a lower
  * priority and at least as many cores as a task of the job, so stopping the task frees enough of
- * the team's quota. */
+ * the team's limit. */
 static bool may_preempt_within_team(const mv_job *job, const mv_placement *placement)
 {
     return is_preemptible(placement) && placement->team == job->team &&
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,6 +1,6 @@
 /**
- * Quotas: the limit of a team, and the resources that count against the limit although this
- * controller does not know for certain whether tasks use them.
+ * The quota of a team: the team's limit, and the resources that count against the limit although
+ * this controller does not know for certain whether tasks use them.
  */
 #ifndef MV_QUOTA_H
 #define MV_QUOTA_H
--- a/src/server/state_watch.c
+++ b/src/server/state_watch.c
@@ -140,8 +140,8 @@
 }
 
 /* Returns the pause before the next watch. The pause grows with the number of jobs, because more
- * jobs cause more changes, which one watch can then return together. Also tells the state store how
- * many shard owners share the write budget. */
+ * jobs cause more changes, which one watch can then return together. Also tells the client of the
+ * state service how many shard owners share the write budget. */
 static double watch_interval_s(mv_state_watch *watch)
 {
     double now;
