--- a/src/constants.h
+++ b/src/constants.h
@@ -71,8 +71,8 @@
  */
 #define MV_VALUE_HEADROOM_BYTES 64
 /**
- * A controller never reduces its limit for the bytes of a value below this, because the records of
- * the service would not fit a smaller value.
+ * A controller never reduces its limit for the bytes of a value below this, because the records
+ * that controllers write would not fit a smaller value.
  */
 #define MV_VALUE_BYTES_MIN 1024
 /** Bytes of a shard's record without the names of the teams that the shard serves. */
@@ -297,8 +297,8 @@
 /** A controller counts as overloaded for at most this long after a late tick. */
 #define MV_OVERLOAD_MAX_S 10.0
 /**
- * A controller gives up a transaction that has had no result for this long. The limit is a
- * safeguard: the server reports a result for every transaction.
+ * A controller treats a transaction without a result as lost after this long, and may send another.
+ * The limit is a safeguard: the server reports a result for every transaction.
  */
 #define MV_TRANSACTION_LOST_S 60.0
 /**
@@ -388,8 +388,8 @@
 #define MV_UNREACHABLE_HEARTBEATS 3.0
 /**
  * If most machines of a shard leave commands unanswered, the link of this controller probably loses
- * the commands (an asymmetric partition). No machine of the shard is then given up as unreachable
- * before this many heartbeat intervals.
+ * the commands (an asymmetric partition). A machine of the shard then counts as unreachable
+ * only after its commands have been unanswered for this many heartbeat intervals.
  */
 #define MV_PARTITIONED_HEARTBEATS 10.0
 /** The leader has at most this many probes in flight to machines that are in no partition. */
@@ -693,7 +693,8 @@
  */
 #define MV_CAPACITY_BACKOFF_S 12.0
 /**
- * Default of the boot time, in multiples of the nominal time, after which a machine is given up.
+ * Default of the time, in multiples of the nominal boot time, after which a machine that has not
+ * booted is released.
  */
 #define MV_BOOT_TIMEOUT_FACTOR 3.0
 /**
@@ -810,7 +811,7 @@
 #define MV_HTTP_REQUEST_BATCH 64
 /**
  * The HTTP library's thread pauses for this long after each batch of requests, so that every other
- * thread that waits for the controller's lock gets its turn.
+ * thread that waits for the controller's lock can take the lock.
  */
 #define MV_HTTP_PAUSE_US 1000
 /**
--- a/src/coordination/agents/agents.h
+++ b/src/coordination/agents/agents.h
@@ -152,7 +152,7 @@
 } mv_agents;
 
 /**
- * Initialises an empty registry. `context`, `jobs` and `launch_control` are borrowed and must
+ * Initializes an empty registry. `context`, `jobs` and `launch_control` are borrowed and must
  * outlive it; call mv_agents_clear at the end.
  */
 void mv_agents_init(mv_agents *agents, mv_context *context, mv_job_table *jobs,
--- a/src/coordination/agents/launch_control.h
+++ b/src/coordination/agents/launch_control.h
@@ -16,7 +16,7 @@
 } mv_launch_control;
 
 /**
- * Initialises the launch control, with link monitoring if the operator settings enable the launch
+ * Initializes the launch control, with link monitoring if the operator settings enable the launch
  * gate. `context` is borrowed and must outlive it; call mv_launch_control_clear at the end.
  */
 void mv_launch_control_init(mv_launch_control *launch_control, mv_context *context);
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -59,7 +59,7 @@
 
 /**
  * Initializes `autoscaler` without requests, lists or probes. The other modules are borrowed and
- * must outlive the autoscaler. The caller frees its contents with mv_autoscaler_clear.
+ * must outlive the autoscaler. The caller frees the autoscaler's contents with mv_autoscaler_clear.
  */
 void mv_autoscaler_init(mv_autoscaler *autoscaler, mv_context *context, mv_job_table *jobs,
                         mv_agents *agents, mv_membership *membership, mv_scheduler *scheduler);
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -4,7 +4,7 @@
 #include "coordination/membership/partition_writer.h"
 #include "telemetry/log.h"
 
-/* A request that got no response is given up after this many cloud time-outs. */
+/* The leader waits for the response to a scale-in request for this many cloud time-outs. */
 #define REQUEST_TIMEOUTS 3.0
 /* Consecutive lists that lack a machine of an earlier list, after which the machine may be gone.
  * One list is not enough, because the cloud may return a list older than the list before. */
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -75,7 +75,7 @@
 
 /* --- heartbeats --- */
 
-/** The response to a worker's heartbeat. The status determines which of the fields are set. */
+/** The response to an agent's heartbeat. The status determines which of the fields are set. */
 typedef struct {
     int status;                     /**< HTTP status: 200, 421 or 503 */
     uint64_t fencing_token;         /**< set with status 200 */
@@ -83,7 +83,7 @@
     char redirect_to[MV_NAME_SIZE]; /**< set with status 421: a controller's name, or empty */
 } mv_heartbeat_response;
 
-/** Handles a worker's heartbeat and fills in the response to it. */
+/** Handles an agent's heartbeat and fills in the response. */
 void mv_controller_heartbeat(mv_controller *controller, double now, const mv_heartbeat *heartbeat,
                              mv_heartbeat_response *response);
 
@@ -92,7 +92,7 @@
 /** Handles a command that was not sent because it was no longer valid. */
 void mv_controller_command_dropped(mv_controller *controller, double now, uint64_t id);
 /**
- * Handles the end of a command. `status` is the HTTP status of the worker's answer, or 0 if there
+ * Handles the end of a command. `status` is the HTTP status of the agent's answer, or 0 if there
  * was none; `heartbeat` is the heartbeat in that answer, or NULL.
  */
 void mv_controller_command_completed(mv_controller *controller, double now, uint64_t id, int status,
@@ -219,8 +219,8 @@
  */
 bool mv_controller_all_formats_current(const mv_controller *controller);
 /**
- * Returns the time, in seconds of the monotonic clock, before which the state cache holds every
- * change.
+ * Returns a time in seconds of the monotonic clock. The state cache holds every change that was
+ * made before this time.
  */
 double mv_controller_caught_up_to(const mv_controller *controller);
 /** Returns the number of controllers that own shards. */
--- a/src/coordination/controller/controller_internal.h
+++ b/src/coordination/controller/controller_internal.h
@@ -9,7 +9,7 @@
 
 /**
  * The modules, the lowest one first. Each module has pointers only to modules that precede it in
- * this list. The modules are initialised in this order and cleared in the reverse order.
+ * this list. The modules are initialized in this order and cleared in the reverse order.
  */
 struct mv_controller {
     mv_context context;
--- a/src/coordination/controller/heartbeats.c
+++ b/src/coordination/controller/heartbeats.c
@@ -1,5 +1,5 @@
 /**
- * Handles the heartbeats of workers and the answers to commands, and decides whether an action that
+ * Handles the heartbeats of agents and the answers to commands, and decides whether an action that
  * was decided earlier may still be carried out.
  */
 #include "coordination/controller/controller_internal.h"
@@ -16,7 +16,7 @@
 /* --- heartbeats --- */
 
 /* Answers that another controller has to handle the heartbeat. With `node` NULL, the response names
- * no controller, and the worker tries the next controller. */
+ * no controller, and the agent tries the next controller. */
 static void redirect(const char *node, mv_heartbeat_response *response)
 {
     response->status = MV_HTTP_STATUS_MISDIRECTED;
@@ -29,7 +29,7 @@
 }
 
 /* Answers the heartbeat of a machine that is in no partition. The leader probes the machine to find
- * out whether the machine exists. Any other controller redirects the worker to the leader, if there
+ * out whether the machine exists. Any other controller redirects the agent to the leader, if there
  * is one. */
 static void answer_unknown_machine(mv_controller *controller, const mv_heartbeat *heartbeat,
                                    mv_heartbeat_response *response)
@@ -45,8 +45,8 @@
     redirect(other_leads ? membership->leader.node : NULL, response);
 }
 
-/* Redirects the worker to the owner of the shard. If the owner is gone, the response names no
- * controller, because a redirect to the owner would cost the worker another refused request. */
+/* Redirects the agent to the owner of the shard. If the owner is gone, the response names no
+ * controller, because a redirect to the owner would cost the agent another refused request. */
 static void redirect_to_owner(const mv_controller *controller, const mv_shard *shard,
                               mv_heartbeat_response *response)
 {
@@ -80,13 +80,14 @@
     response->commands = mv_command_list_new();
     mv_heartbeat_order order = mv_heartbeat_compare(machine, heartbeat);
     if (order == MV_HEARTBEAT_STALE) {
-        /* The heartbeat is a late copy of an earlier one; the worker drops the response to it. */
+        /* The heartbeat is a late copy of an earlier one; the agent drops the response to the copy.
+         */
         mv_context_count_stale(context, "report", machine->id);
         return;
     }
     machine->lease_renewed_at = context->clock.now;
     mv_heartbeat_apply(&controller->agents, machine, heartbeat, order, response->commands);
-    /* Commands that do not fit the response are dropped; the worker's next heartbeat makes this
+    /* Commands that do not fit the response are dropped; the agent's next heartbeat makes this
      * controller collect them again. */
     if (response->commands->len > MV_RESPONSE_COMMANDS_MAX)
         g_array_set_size(response->commands, MV_RESPONSE_COMMANDS_MAX);
@@ -170,7 +171,7 @@
     return false;
 }
 
-/* Applies the heartbeat with which a worker answered a command, after the worker carried the
+/* Applies the heartbeat with which an agent answered a command, after the agent carried the
  * command out or, if `refused` is true, refused the whole command. Refused launches are sent again.
  */
 static void apply_command_answer(mv_controller *controller, mv_machine *machine, bool refused,
--- a/src/coordination/foundation/shard.h
+++ b/src/coordination/foundation/shard.h
@@ -68,7 +68,7 @@
                                  tasks may use */
     uint32_t scarce_types; /**< within a scheduling round: machine types that are the only possible
                               type of some pending job */
-    bool any_drained;      /**< some machines of the shard may be drained */
+    bool any_drained;      /**< a machine of the shard may be draining */
     mv_resource_demand reserve; /**< capacity that the services of the shard would need after the
                                    loss of a machine */
     unsigned
--- a/src/coordination/foundation/transaction_slot.c
+++ b/src/coordination/foundation/transaction_slot.c
@@ -40,7 +40,8 @@
     if (slot->transaction_id != id)
         return;
     if (result == MV_TRANSACTION_TOO_LARGE) {
-        /* The slot stays busy for a while, so that the transaction is not sent again at once. */
+        /* The slot stays busy for MV_TRANSACTION_RETRY_S, so that the transaction is not sent again
+         * at once. */
         slot->retry_at = clock->now + MV_TRANSACTION_RETRY_S;
         return;
     }
--- a/src/coordination/foundation/transaction_slot.h
+++ b/src/coordination/foundation/transaction_slot.h
@@ -25,8 +25,8 @@
 } mv_transaction_slot;
 
 /**
- * Returns whether another transaction of the slot must wait. Gives up a transaction whose response
- * is overdue.
+ * Returns whether another transaction of the slot must wait. Treats a transaction whose response
+ * is overdue as lost.
  */
 bool mv_transaction_slot_busy(mv_transaction_slot *slot, const mv_clock *clock);
 /** Records that a transaction of the slot is handed to the server. */
--- a/src/coordination/jobs/job.h
+++ b/src/coordination/jobs/job.h
@@ -85,7 +85,7 @@
 } mv_job_table;
 
 /**
- * Initialises a table without jobs. `context` is borrowed and must outlive the table. The caller
+ * Initializes a table without jobs. `context` is borrowed and must outlive the table. The caller
  * releases the table's contents with mv_job_table_clear.
  */
 void mv_job_table_init(mv_job_table *jobs, mv_context *context);
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -59,7 +59,7 @@
 } mv_membership;
 
 /**
- * Initialises `membership` with an empty cache. `membership` borrows the other modules, which must
+ * Initializes `membership` with an empty cache. `membership` borrows the other modules, which must
  * outlive it. The caller frees the contents with mv_membership_clear.
  */
 void mv_membership_init(mv_membership *membership, mv_context *context, mv_job_table *jobs,
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -56,8 +56,9 @@
 
 /* Returns whether a task that is preempted for the claimant writes a checkpoint before it stops.
  * The checkpoint must take less time than the task has run since its last checkpoint. A checkpoint
- * can take as long as the claimant's whole start objective (5 s of 5 s), so the checkpoint must
- * also end before the claimant misses that objective, unless the claimant has already missed it. */
+ * can take as long as the claimant's whole start objective (both can be 5 s), so the checkpoint
+ * must also end before the claimant misses that objective, unless the claimant has already missed
+ * it. */
 static bool saves_checkpoint_for(const mv_context *context, const mv_job *claimant,
                                  const mv_placement *placement)
 {
@@ -244,8 +245,8 @@
 /* --- room within the team's limit --- */
 
 /* Returns whether a task of the same team may be preempted for the job: the task has a lower
- * priority and at least as many cores as a task of the job, so stopping the task frees enough of
- * the team's limit. */
+ * priority and at least as many cores as a task of the job, so stopping the task frees enough
+ * cores within the team's limit. */
 static bool may_preempt_within_team(const mv_job *job, const mv_placement *placement)
 {
     return is_preemptible(placement) && placement->team == job->team &&
--- a/src/coordination/scheduling/scheduler.h
+++ b/src/coordination/scheduling/scheduler.h
@@ -27,7 +27,7 @@
 } mv_scheduler;
 
 /**
- * Initialises a scheduler before its first round. The scheduler borrows the other modules, which
+ * Initializes a scheduler before its first round. The scheduler borrows the other modules, which
  * must outlive the scheduler. The caller ends with mv_scheduler_clear().
  */
 void mv_scheduler_init(mv_scheduler *scheduler, mv_context *context, mv_job_table *jobs,
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -26,7 +26,8 @@
     char id[MV_NAME_SIZE], address[MV_ADDRESS_SIZE], type_name[MV_NAME_SIZE],
         zone_name[MV_NAME_SIZE];
     bool spot;
-    uint64_t term; /* replaces the term of the shard's owner if higher; 0: no term of its own */
+    uint64_t term; /* the machine's own term, which replaces the term of the shard's owner if the
+                      machine's is higher; 0: the machine has no term of its own */
     double rented_at_wall; /* time of the request to the cloud: wall clock, in full seconds */
 } mv_partition_member;
 
--- a/src/server/job_endpoints.c
+++ b/src/server/job_endpoints.c
@@ -60,7 +60,7 @@
 
 /* --- submission --- */
 
-/** Whether this controller may accept a job, and if not, why. */
+/** The result of the checks that decide whether this controller may accept a job. */
 typedef struct {
     mv_fit_result fit;
     unsigned home_shard;       /* set only if `fit` is MV_FIT_POSSIBLE */
--- a/src/server/shared_controller.h
+++ b/src/server/shared_controller.h
@@ -32,7 +32,8 @@
     MV_ACTION_QUEUES /* number of queues */
 } mv_action_queue_name;
 
-/** Returns a controller with empty queues, which the caller frees. `settings` has to outlive it. */
+/** Returns a controller with empty queues, which the caller frees. `settings` has to outlive the
+ * controller. */
 mv_shared_controller *mv_shared_controller_new(const mv_settings *settings);
 /** Frees the controller and the actions in the queues. All threads must have ended before. */
 void mv_shared_controller_free(mv_shared_controller *shared);
--- a/src/server/state_watch.c
+++ b/src/server/state_watch.c
@@ -13,13 +13,13 @@
     mv_shared_controller *controller;
     mv_state_store *state_store;
     mv_thread_group *threads;
-    /* Only the watch's thread uses these fields. */
+    /* Only the watch's thread uses the fields from here to `listed`. */
     GHashTable *cached_keys; /* char *: the keys that the controller's cache holds */
     uint64_t store_revision; /* the next watch starts after this revision */
     /* Whether all records were listed and the state service has kept the events after
      * store_revision since then. If false, the records are listed before the next watch. */
     bool listed;
-    /* The controller's lock guards these fields. */
+    /* The controller's lock guards the fields below. */
     pthread_cond_t caught_up; /* signalled when the cache is up to date or the watch stops */
     bool stopping;
 };
--- a/src/storage/state_client.c
+++ b/src/storage/state_client.c
@@ -48,8 +48,8 @@
     return mv_document_parse(bytes, size);
 }
 
-/* Whether a response with status 400 says that the lease session has expired. All other reasons for
- * a status 400 are faults of the request itself. */
+/* Returns whether a response with status 400 says that the lease session has expired. All other
+ * reasons for a status 400 are faults of the request itself. */
 static bool lease_has_expired(const mv_http_result *response)
 {
     g_autoptr(mv_document) document = parse_body(response);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -278,8 +278,8 @@
     *slot = NULL;
 }
 
-/* The library calls this for each of its messages. Writes the message to the service's log, as one
- * line without quotation marks. */
+/* libmicrohttpd calls this function for each of its messages. Writes the message to the service's
+ * log, as one line without quotation marks. */
 static void on_log(void *context, const char *format, va_list arguments)
 {
     char line[LOG_LINE_SIZE];
