--- a/src/constants.h
+++ b/src/constants.h
@@ -71,8 +71,8 @@
  */
 #define MV_VALUE_HEADROOM_BYTES 64
 /**
- * A controller never reduces its limit for the bytes of a value below this, because the records of
- * the service would not fit a smaller value.
+ * A controller never reduces its limit for the bytes of a value below this, because the records
+ * that controllers write would not fit a smaller value.
  */
 #define MV_VALUE_BYTES_MIN 1024
 /** Bytes of a shard's record without the names of the teams that the shard serves. */
@@ -223,8 +223,8 @@
  */
 #define MV_LINK_REPORT_TTL_S 2.0
 /**
- * A controller remembers the send times of this many of its own link reports: those of 2 s, sent to
- * 30 peers at once.
+ * A controller remembers the send times of this many of its own link reports. This number covers
+ * the link reports that a controller sends to 30 peers within 2 s.
  */
 #define MV_LINK_REPORTS_REMEMBERED 256u
 /** A peer has this long to respond to a link report. */
@@ -259,7 +259,7 @@
 #define MV_HOLD_DOWN_INITIAL_S 0.5
 /**
  * Longest time for which the links must be stable after a failure before a controller launches
- * tasks again; a failover takes as long.
+ * tasks again. A failover takes as long as this.
  */
 #define MV_HOLD_DOWN_MAX_S 8.0
 /** If the links had no failure for this long, the hold-down is MV_HOLD_DOWN_INITIAL_S again. */
@@ -297,8 +297,8 @@
 /** A controller counts as overloaded for at most this long after a late tick. */
 #define MV_OVERLOAD_MAX_S 10.0
 /**
- * A controller gives up a transaction that has had no result for this long. The limit is a
- * safeguard: the server reports a result for every transaction.
+ * A controller treats a transaction without a result as lost after this long, and may send another.
+ * The limit is a safeguard: the server reports a result for every transaction.
  */
 #define MV_TRANSACTION_LOST_S 60.0
 /**
@@ -388,8 +388,8 @@
 #define MV_UNREACHABLE_HEARTBEATS 3.0
 /**
  * If most machines of a shard leave commands unanswered, the link of this controller probably loses
- * the commands (an asymmetric partition). No machine of the shard is then given up as unreachable
- * before this many heartbeat intervals.
+ * the commands (an asymmetric partition). A machine of the shard then counts as unreachable
+ * only after its commands have been unanswered for this many heartbeat intervals.
  */
 #define MV_PARTITIONED_HEARTBEATS 10.0
 /** The leader has at most this many probes in flight to machines that are in no partition. */
@@ -522,7 +522,7 @@
  * with the load.
  */
 #define MV_ROUND_INTERVAL_PER_TASK_S 0.0002
-/** Longest pause between two scheduling rounds that pending tasks cause. */
+/** Longest pause that pending tasks can cause between two scheduling rounds. */
 #define MV_ROUND_INTERVAL_MAX_S 0.5
 /**
  * The pause after a scheduling round is at least this for each machine that the round examined.
@@ -573,8 +573,8 @@
 #define MV_HEADROOM_SHARE_MAX 0.2
 /**
  * A job that has waited this long is starving, and no capacity is kept back from it any more. The
- * rule is 90 s: after that, a job that waits although a machine has the resources counts as
- * starved.
+ * operators require that no job is left waiting for 90 s while a machine that fits it has room and
+ * its team is under its limit.
  */
 #define MV_STARVATION_TIMEOUT_S 45.0
 /**
@@ -584,8 +584,8 @@
 #define MV_STARVED_AFTER_S 120.0
 /**
  * A job that was accepted this long ago, and of which no task has been placed, precedes all other
- * jobs except services that are guaranteed or have production priority. The rule is that the job's
- * first task starts within 4 minutes.
+ * jobs except services that are guaranteed or have production priority. The operators require
+ * that the largest jobs begin within 4 minutes.
  */
 #define MV_STARVED_SEVERELY_AFTER_S 150.0
 
@@ -693,7 +693,8 @@
  */
 #define MV_CAPACITY_BACKOFF_S 12.0
 /**
- * Default of the boot time, in multiples of the nominal time, after which a machine is given up.
+ * Default of the time, in multiples of the nominal boot time, after which a machine that has not
+ * booted is released.
  */
 #define MV_BOOT_TIMEOUT_FACTOR 3.0
 /**
@@ -810,7 +811,7 @@
 #define MV_HTTP_REQUEST_BATCH 64
 /**
  * The HTTP library's thread pauses for this long after each batch of requests, so that every other
- * thread that waits for the controller's lock gets its turn.
+ * thread that waits for the controller's lock can take the lock.
  */
 #define MV_HTTP_PAUSE_US 1000
 /**
@@ -826,7 +827,7 @@
 
 /* --- Transport: HTTP client --- */
 
-/** Longest time to establish a connection; no host is further away than this. */
+/** Longest time to establish a connection; no host is so distant that this takes longer. */
 #define MV_CONNECT_TIMEOUT_MS 1000
 /**
  * The HTTP client rejects a response of more bytes than this, because responses to watches have no
