--- a/src/constants.h
+++ b/src/constants.h
@@ -285,8 +285,9 @@
 /** The server passes the time to the controller this often. */
 #define MV_TICK_S 0.1
 /**
- * A tick that comes this late shows that this controller's processor is overloaded. For a while
- * afterwards, missing heartbeats prove nothing, because responses may lie unread.
+ * A tick that comes this late shows that this controller's processor is overloaded. For a time
+ * that depends on MV_OVERLOAD_FACTOR, missing heartbeats prove nothing, because responses may lie
+ * unread.
  */
 #define MV_TICK_LATE_S 0.5
 /**
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -236,6 +236,6 @@
 void mv_controller_reduce_limits(mv_controller *controller);
 /** Returns the overview for operators, a MessagePack map; the caller owns it. */
 GBytes *mv_controller_overview(const mv_controller *controller, double now);
-/** Copies the counters for metrics, and recomputes those that are present numbers. */
+/** Copies the counters for metrics, and recomputes the counters that are current values. */
 void mv_controller_get_counters(const mv_controller *controller, mv_controller_counters *counters);
 #endif
--- a/src/coordination/foundation/clock.h
+++ b/src/coordination/foundation/clock.h
@@ -19,7 +19,7 @@
 void mv_clock_advance(mv_clock *clock, double now);
 /**
  * Advances the clock to the time of a tick. Returns the seconds since the previous tick, or 0 for
- * the first tick. A large gap marks this process as overloaded for a while.
+ * the first tick. A large gap marks this process as overloaded until `overloaded_until`.
  */
 double mv_clock_tick(mv_clock *clock, double now, double wall_now);
 /**
