--- a/src/coordination/autoscaling/instance_requests.h
+++ b/src/coordination/autoscaling/instance_requests.h
@@ -21,8 +21,8 @@
     const char *zone_name; /**< owned by the catalog */
     bool spot;
     double price; /**< per demanded task, weighted by the cost of waiting for the machine */
-    const mv_shard *shard;
-    unsigned count; /**< number of machines */
+    const mv_shard *shard; /**< shard that gets the machines; set by the planner */
+    unsigned count;        /**< number of machines to request; set by mv_instance_offers_add */
 } mv_instance_offer;
 
 /**
